--- a/crates/agent/src/admission.rs
+++ b/crates/agent/src/admission.rs
@@ -10,11 +10,11 @@
 mod pick;
 mod queue;
 
-pub use pick::{ClassUse, Pick, TenantUse, Waiter, pick};
+pub use pick::{ClassUsage, PickInput, TenantUsage, Waiter, pick};
 
 use crate::rates::Cost;
 use conf::{Class, TenantLimits};
-use queue::{Grant, Inner};
+use queue::{Grant, QueueState};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -26,12 +26,12 @@
 /// The queue and slots of one upstream.
 #[derive(Debug)]
 pub struct Admission {
-    inner: Mutex<Inner>,
+    state: Mutex<QueueState>,
 }
 
 /// What a request brings to admission.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct SlotRequest<'a> {
     /// Its class.
     pub class: &'a Class,
     /// Its tenant.
@@ -43,32 +43,32 @@
     /// When it must have begun to be answered.
     pub deadline: Instant,
     /// When its answer must have ended, as the entry ends then.
-    pub end: Option<Instant>,
+    pub must_end_by: Option<Instant>,
 }
 
 /// A slot at the upstream, free again when this is dropped.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct SlotGuard {
     admission: Arc<Admission>,
     id: u64,
 }
 
-impl Drop for Ticket {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let grants = self.admission.lock().release(self.id, Instant::now());
-        self.admission.clone().hand_out(grants);
+        self.admission.clone().deliver_grants(grants);
     }
 }
 
 /// A place in the queue, left when this is dropped.
-struct Place {
+struct QueueGuard {
     admission: Arc<Admission>,
     id: u64,
 }
 
-impl Drop for Place {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
-        self.admission.lock().forget(self.id);
+        self.admission.lock().cancel(self.id);
     }
 }
 
@@ -76,18 +76,18 @@
     /// Admission with no slots yet; the document sets them.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
-            inner: Mutex::new(Inner::default()),
+            state: Mutex::new(QueueState::default()),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panic while locked")
+    fn lock(&self) -> MutexGuard<'_, QueueState> {
+        self.state.lock().expect("no panic while locked")
     }
 
     /// Sets how many requests the upstream runs at once.
     pub fn set_slots(self: &Arc<Self>, slots: u32) {
         let grants = self.lock().set_slots(slots, Instant::now());
-        self.clone().hand_out(grants);
+        self.clone().deliver_grants(grants);
     }
 
     /// Refuses all that wait, and all that come while closed.
@@ -119,16 +119,16 @@
     }
 
     /// Waits for a slot. Dropping the wait leaves the queue.
-    pub async fn admit(self: &Arc<Self>, ask: Ask<'_>) -> Result<Ticket, Refusal> {
+    pub async fn admit(self: &Arc<Self>, request: SlotRequest<'_>) -> Result<SlotGuard, Refusal> {
         let (tx, mut rx) = oneshot::channel();
         let now = Instant::now();
-        let (id, grants) = self.lock().join(&ask, tx, now)?;
-        let _place = Place {
+        let (id, grants) = self.lock().enqueue(&request, tx, now)?;
+        let _queue_guard = QueueGuard {
             admission: self.clone(),
             id,
         };
-        self.clone().hand_out(grants);
-        let left = ask.deadline.saturating_duration_since(now);
+        self.clone().deliver_grants(grants);
+        let left = request.deadline.saturating_duration_since(now);
         match tokio::time::timeout(left, &mut rx).await {
             Ok(Ok(answer)) => answer,
             // The queue never drops a waiter without an answer.
@@ -137,27 +137,27 @@
                 // The slot may have come just now; then it is given back here.
                 rx.close();
                 drop(rx.try_recv());
-                let wait = self.expected_wait_ms(ask.class);
-                Err(Refusal::not_run(Reason::DeadlinePassed).retry_in(retry_ms(wait)))
+                let wait_ms = self.expected_wait_ms(request.class);
+                Err(Refusal::not_run(Reason::DeadlinePassed).retry_in(retry_after_ms(wait_ms)))
             }
         }
     }
 
     /// Sends slots to those who got them, outside the lock: a ticket that
     /// can't be sent is dropped here, which frees its slot for the next.
-    fn hand_out(self: Arc<Self>, grants: Vec<Grant>) {
+    fn deliver_grants(self: Arc<Self>, grants: Vec<Grant>) {
         for grant in grants {
-            let ticket = Ticket {
+            let slot = SlotGuard {
                 admission: self.clone(),
                 id: grant.id,
             };
-            drop(grant.tx.send(Ok(ticket)));
+            drop(grant.tx.send(Ok(slot)));
         }
     }
 }
 
 /// When a refused caller should come back, from the expected wait.
-fn retry_ms(wait_ms: f64) -> u64 {
+fn retry_after_ms(wait_ms: f64) -> u64 {
     (wait_ms as u64).max(MIN_RETRY_MS)
 }
 
--- a/crates/agent/src/admission/pick.rs
+++ b/crates/agent/src/admission/pick.rs
@@ -14,14 +14,14 @@
     /// 0 is served first.
     pub urgency: u32,
     /// When it came.
-    pub since: Instant,
+    pub queued_at: Instant,
     /// How long more urgent work may hold it back.
     pub starvation_bound: Duration,
 }
 
 /// A class that has requests here.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ClassUse {
+pub struct ClassUsage {
     /// The class's name.
     pub name: String,
     /// Fraction of the slots that it may expect.
@@ -34,7 +34,7 @@
 
 /// A tenant that has requests here.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TenantUse {
+pub struct TenantUsage {
     /// The tenant's name.
     pub name: String,
     /// Its requests that wait.
@@ -44,18 +44,18 @@
     /// Most of its requests that may run.
     pub limit: u32,
     /// Work that it was given, in milliseconds, on the fair queue's own clock.
-    pub given: f64,
+    pub served_ms: f64,
 }
 
 /// Everything that the choice looks at.
 #[derive(Debug)]
-pub struct Pick<'a> {
+pub struct PickInput<'a> {
     /// Requests that wait.
     pub waiters: &'a [Waiter],
     /// Classes in use.
-    pub classes: &'a [ClassUse],
+    pub classes: &'a [ClassUsage],
     /// Tenants in use.
-    pub tenants: &'a [TenantUse],
+    pub tenants: &'a [TenantUsage],
     /// Requests that the upstream runs at once.
     pub slots: u32,
     /// The time.
@@ -64,25 +64,31 @@
 
 /// Gives the place of the request to run next, or none if all that wait are
 /// held back by their tenants' limits.
-pub fn pick(p: &Pick<'_>) -> Option<usize> {
-    let free = |w: &Waiter| {
-        let t = &p.tenants[w.tenant];
+pub fn pick(input: &PickInput<'_>) -> Option<usize> {
+    let is_within_limit = |w: &Waiter| {
+        let t = &input.tenants[w.tenant];
         t.running < t.limit
     };
-    let candidates = || p.waiters.iter().enumerate().filter(|(_, w)| free(w));
+    let candidates = || {
+        input
+            .waiters
+            .iter()
+            .enumerate()
+            .filter(|(_, w)| is_within_limit(w))
+    };
     let overdue = candidates()
-        .filter(|(_, w)| p.now.saturating_duration_since(w.since) > w.starvation_bound)
-        .filter(|(_, w)| below_share(&p.classes[w.class], p.slots))
+        .filter(|(_, w)| input.now.saturating_duration_since(w.queued_at) > w.starvation_bound)
+        .filter(|(_, w)| below_share(&input.classes[w.class], input.slots))
         .min_by_key(|(_, w)| w.id);
     if let Some((at, _)) = overdue {
         return Some(at);
     }
     let rank = |w: &Waiter| {
-        let class = &p.classes[w.class];
+        let class = &input.classes[w.class];
         (
             w.urgency,
             f64::from(class.running) / class.share,
-            p.tenants[w.tenant].given,
+            input.tenants[w.tenant].served_ms,
             w.id,
         )
     };
@@ -98,6 +104,6 @@
 
 /// Whether a class runs less than its share of the slots; at least one slot is
 /// within each share.
-fn below_share(class: &ClassUse, slots: u32) -> bool {
+fn below_share(class: &ClassUsage, slots: u32) -> bool {
     class.running < ((class.share * f64::from(slots)) as u32).max(1)
 }
--- a/crates/agent/src/admission/queue.rs
+++ b/crates/agent/src/admission/queue.rs
@@ -1,14 +1,14 @@
 //! The queue's state: what waits, what runs, and for whom.
 
-use super::pick::{ClassUse, Pick, TenantUse, Waiter, pick};
-use super::{Ask, MIN_RETRY_MS, Ticket, ms_until, retry_ms};
+use super::pick::{ClassUsage, PickInput, TenantUsage, Waiter, pick};
+use super::{MIN_RETRY_MS, SlotGuard, SlotRequest, ms_until, retry_after_ms};
 use crate::rates::Cost;
 use std::time::Instant;
 use tokio::sync::oneshot;
 use wire::{Reason, Refusal};
 
 /// Where a waiter's answer goes.
-pub type Reply = oneshot::Sender<Result<Ticket, Refusal>>;
+pub type Reply = oneshot::Sender<Result<SlotGuard, Refusal>>;
 
 /// A slot that was given to a waiter.
 #[derive(Debug)]
@@ -22,35 +22,35 @@
     tx: Reply,
     cost: Cost,
     deadline: Instant,
-    end: Option<Instant>,
+    must_end_by: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Active {
+struct RunningRequest {
     id: u64,
     class: usize,
     tenant: usize,
-    ends: Instant,
+    expected_end: Instant,
 }
 
 /// All of it, behind the lock of [`super::Admission`].
 #[derive(Debug, Default)]
-pub struct Inner {
+pub struct QueueState {
     slots: u32,
     closed: Option<Reason>,
     next_id: u64,
     /// Waiters and what is kept for each, in order of arrival.
     waiters: Vec<Waiter>,
     pending: Vec<Pending>,
-    running: Vec<Active>,
+    running: Vec<RunningRequest>,
     /// Arenas: places stay valid while in use, free ones are used again.
-    classes: Vec<ClassUse>,
-    tenants: Vec<TenantUse>,
+    classes: Vec<ClassUsage>,
+    tenants: Vec<TenantUsage>,
     /// The fair queue's clock: what the least served waiting tenant was given.
-    clock: f64,
+    virtual_time_ms: f64,
 }
 
-impl Inner {
+impl QueueState {
     pub fn set_slots(&mut self, slots: u32, now: Instant) -> Vec<Grant> {
         self.slots = slots;
         self.dispatch(now)
@@ -84,72 +84,74 @@
         if (self.running.len() as u32) < self.slots && self.waiters.is_empty() {
             return 0.0;
         }
-        let left: f64 = self
+        let running_ms: f64 = self
             .running
             .iter()
-            .map(|a| ms_until(a.ends, now).max(0.0))
+            .map(|a| ms_until(a.expected_end, now).max(0.0))
             .sum();
-        let ahead = self.waiters.iter().zip(&self.pending);
-        let ahead: f64 = ahead
+        let queued_ms = self.waiters.iter().zip(&self.pending);
+        let queued_ms: f64 = queued_ms
             .filter(|(w, _)| w.urgency <= urgency)
             .map(|(_, p)| p.cost.total_ms)
             .sum();
-        (left + ahead) / f64::from(self.slots.max(1))
+        (running_ms + queued_ms) / f64::from(self.slots.max(1))
     }
 
     /// Joins the queue, or is refused at once.
-    pub fn join(
+    pub fn enqueue(
         &mut self,
-        ask: &Ask<'_>,
+        request: &SlotRequest<'_>,
         tx: Reply,
         now: Instant,
     ) -> Result<(u64, Vec<Grant>), Refusal> {
         if let Some(reason) = self.closed {
             return Err(Refusal::not_run(reason).retry_in(MIN_RETRY_MS));
         }
-        let wait = self.expected_wait_ms(ask.class.urgency, now);
-        if self.class_waiting(&ask.class.name) >= ask.class.queue {
-            return Err(Refusal::not_run(Reason::QueueFull).retry_in(retry_ms(wait)));
+        let wait_ms = self.expected_wait_ms(request.class.urgency, now);
+        if self.class_waiting(&request.class.name) >= request.class.queue {
+            return Err(Refusal::not_run(Reason::QueueFull).retry_in(retry_after_ms(wait_ms)));
         }
-        if self.tenant_is_full(ask) {
-            return Err(Refusal::not_run(Reason::TenantLimit).retry_in(retry_ms(wait)));
+        if self.tenant_is_full(request) {
+            return Err(Refusal::not_run(Reason::TenantLimit).retry_in(retry_after_ms(wait_ms)));
         }
         // With nothing running the estimate is tried out, or it could never mend.
-        let begins = wait + ask.cost.first_ms;
-        if begins > ms_until(ask.deadline, now) && !self.running.is_empty() {
-            return Err(Refusal::not_run(Reason::DeadlineUnreachable).retry_in(retry_ms(wait)));
+        let first_byte_in_ms = wait_ms + request.cost.first_byte_ms;
+        if first_byte_in_ms > ms_until(request.deadline, now) && !self.running.is_empty() {
+            return Err(
+                Refusal::not_run(Reason::DeadlineUnreachable).retry_in(retry_after_ms(wait_ms))
+            );
         }
         // Of an answer of unknown length its deadline is all that is known.
-        let known = (ask.cost.total_ms > 0.0).then_some(wait + ask.cost.total_ms);
-        let ends = known.unwrap_or_else(|| ms_until(ask.deadline, now));
-        if is_past(ask.end, ends, now) {
+        let known_ms = (request.cost.total_ms > 0.0).then_some(wait_ms + request.cost.total_ms);
+        let expected_end = known_ms.unwrap_or_else(|| ms_until(request.deadline, now));
+        if ends_after(request.must_end_by, expected_end, now) {
             return Err(Refusal::not_run(Reason::Leaving).retry_in(MIN_RETRY_MS));
         }
         self.next_id += 1;
         let id = self.next_id;
-        let class = self.class_place(&ask.class.name, ask.class.share);
-        let tenant = self.tenant_place(ask.tenant, ask.limits.running);
+        let class = self.class_index(&request.class.name, request.class.share);
+        let tenant = self.tenant_index(request.tenant, request.limits.running);
         self.classes[class].waiting += 1;
         self.tenants[tenant].waiting += 1;
         self.waiters.push(Waiter {
             id,
             class,
             tenant,
-            urgency: ask.class.urgency,
-            since: now,
-            starvation_bound: ask.class.starvation_bound,
+            urgency: request.class.urgency,
+            queued_at: now,
+            starvation_bound: request.class.starvation_bound,
         });
         self.pending.push(Pending {
             tx,
-            cost: ask.cost,
-            deadline: ask.deadline,
-            end: ask.end,
+            cost: request.cost,
+            deadline: request.deadline,
+            must_end_by: request.must_end_by,
         });
         Ok((id, self.dispatch(now)))
     }
 
     /// Leaves the queue, if still in it.
-    pub fn forget(&mut self, id: u64) {
+    pub fn cancel(&mut self, id: u64) {
         self.remove(id);
     }
 
@@ -166,7 +168,7 @@
     fn dispatch(&mut self, now: Instant) -> Vec<Grant> {
         let mut grants = Vec::new();
         while (self.running.len() as u32) < self.slots {
-            let chosen = pick(&Pick {
+            let chosen = pick(&PickInput {
                 waiters: &self.waiters,
                 classes: &self.classes,
                 tenants: &self.tenants,
@@ -176,7 +178,7 @@
             let Some(at) = chosen else { break };
             let w = self.waiters[at].clone();
             let Some(p) = self.remove(w.id) else { break };
-            if let Some(reason) = self.hopeless(&p, now) {
+            if let Some(reason) = self.unreachable_reason(&p, now) {
                 let refusal = Refusal::not_run(reason).retry_in(MIN_RETRY_MS);
                 // A waiter that went away needs no answer.
                 let _ = p.tx.send(Err(refusal));
@@ -190,28 +192,29 @@
 
     /// Why a request's answer can't begin or end in time any more: the one while
     /// others run, the other as its entry ends before.
-    fn hopeless(&self, p: &Pending, now: Instant) -> Option<Reason> {
-        if is_past(p.end, p.cost.total_ms, now) {
+    fn unreachable_reason(&self, p: &Pending, now: Instant) -> Option<Reason> {
+        if ends_after(p.must_end_by, p.cost.total_ms, now) {
             return Some(Reason::Leaving);
         }
-        let is_late = p.cost.first_ms > ms_until(p.deadline, now) && !self.running.is_empty();
-        is_late.then_some(Reason::DeadlineUnreachable)
+        let misses_deadline =
+            p.cost.first_byte_ms > ms_until(p.deadline, now) && !self.running.is_empty();
+        misses_deadline.then_some(Reason::DeadlineUnreachable)
     }
 
     fn start(&mut self, w: &Waiter, p: &Pending, now: Instant) {
-        let ends = now + std::time::Duration::from_secs_f64(p.cost.total_ms / 1000.0);
-        self.running.push(Active {
+        let expected_end = now + std::time::Duration::from_secs_f64(p.cost.total_ms / 1000.0);
+        self.running.push(RunningRequest {
             id: w.id,
             class: w.class,
             tenant: w.tenant,
-            ends,
+            expected_end,
         });
         self.classes[w.class].running += 1;
         let tenant = &mut self.tenants[w.tenant];
         tenant.running += 1;
-        self.clock = self.clock.max(tenant.given);
+        self.virtual_time_ms = self.virtual_time_ms.max(tenant.served_ms);
         // A request of unknown cost still counts for something.
-        tenant.given += p.cost.total_ms.max(1.0);
+        tenant.served_ms += p.cost.total_ms.max(1.0);
     }
 
     fn remove(&mut self, id: u64) -> Option<Pending> {
@@ -229,19 +232,21 @@
             .map_or(0, |c| c.waiting)
     }
 
-    fn tenant_is_full(&self, ask: &Ask<'_>) -> bool {
-        let found = self.tenants.iter().find(|t| t.name == ask.tenant);
-        found.is_some_and(|t| t.running >= ask.limits.running && t.waiting >= ask.limits.queue)
+    fn tenant_is_full(&self, request: &SlotRequest<'_>) -> bool {
+        let found = self.tenants.iter().find(|t| t.name == request.tenant);
+        found.is_some_and(|t| {
+            t.running >= request.limits.running && t.waiting >= request.limits.queue
+        })
     }
 
-    fn class_place(&mut self, name: &str, share: f64) -> usize {
+    fn class_index(&mut self, name: &str, share: f64) -> usize {
         let found = self.classes.iter().position(|c| c.name == name);
         let free = || {
             self.classes
                 .iter()
                 .position(|c| c.waiting == 0 && c.running == 0)
         };
-        let fresh = ClassUse {
+        let fresh = ClassUsage {
             name: name.to_owned(),
             share,
             waiting: 0,
@@ -263,44 +268,44 @@
         }
     }
 
-    fn tenant_place(&mut self, name: &str, limit: u32) -> usize {
+    fn tenant_index(&mut self, name: &str, limit: u32) -> usize {
         let found = self.tenants.iter().position(|t| t.name == name);
         let free = || {
             self.tenants
                 .iter()
                 .position(|t| t.waiting == 0 && t.running == 0)
         };
-        let clock = self.clock;
+        let virtual_time_ms = self.virtual_time_ms;
         match found.or_else(free) {
             Some(at) if self.tenants[at].name == name => {
                 let t = &mut self.tenants[at];
                 t.limit = limit;
                 // Time away earns no credit.
                 if t.waiting == 0 && t.running == 0 {
-                    t.given = t.given.max(clock);
+                    t.served_ms = t.served_ms.max(virtual_time_ms);
                 }
                 at
             }
-            place => {
+            index => {
                 let name = name.to_owned();
-                let fresh = TenantUse {
+                let fresh = TenantUsage {
                     name,
                     waiting: 0,
                     running: 0,
                     limit,
-                    given: clock,
+                    served_ms: virtual_time_ms,
                 };
-                match place {
+                match index {
                     Some(at) => self.tenants[at] = fresh,
                     None => self.tenants.push(fresh),
                 }
-                place.unwrap_or(self.tenants.len() - 1)
+                index.unwrap_or(self.tenants.len() - 1)
             }
         }
     }
 }
 
 /// Whether something that takes so many milliseconds from now on lasts past an end.
-fn is_past(end: Option<Instant>, ms: f64, now: Instant) -> bool {
+fn ends_after(end: Option<Instant>, ms: f64, now: Instant) -> bool {
     end.is_some_and(|end| ms > ms_until(end, now))
 }
--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/attempt.rs
@@ -1,6 +1,6 @@
 //! A try that is being served, and how it ended.
 
-use crate::frames::Frames;
+use crate::frames::FrameSender;
 use crate::state::Agent;
 use conf::Class;
 use observe::{Event, emit};
@@ -11,7 +11,7 @@
 
 /// How a try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptResult {
     /// The whole answer was sent: so many tokens or bytes.
     Answered(u64),
     /// It was refused.
@@ -21,20 +21,20 @@
     /// The same, as the upstream has ended; the number tells this end from others.
     UpstreamEnded(u32),
     /// The entry went away.
-    Gone,
+    EntryGone,
 }
 
 /// Times of a try.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Times {
+pub struct AttemptTimes {
     /// In the queue.
     pub queue: Duration,
     /// From receipt to the first byte.
-    pub first: Option<Duration>,
+    pub first_byte: Option<Duration>,
 }
 
 /// A try that is being served.
-pub struct Try<'a> {
+pub struct Attempt<'a> {
     /// The agent.
     pub agent: &'a Arc<Agent>,
     /// What came with the request.
@@ -44,21 +44,23 @@
     /// Its class.
     pub class: &'a Class,
     /// The way back.
-    pub frames: &'a mut Frames,
+    pub frames: &'a mut FrameSender,
     /// Its times.
-    pub times: &'a mut Times,
+    pub times: &'a mut AttemptTimes,
     /// When it was received.
-    pub since: Instant,
+    pub received_at: Instant,
 }
 
-impl Try<'_> {
+impl Attempt<'_> {
     /// Notes the first byte of the answer.
-    pub fn first_byte(&mut self) {
-        self.times.first.get_or_insert(self.since.elapsed());
+    pub fn record_first_byte(&mut self) {
+        self.times
+            .first_byte
+            .get_or_insert(self.received_at.elapsed());
     }
 
     /// Logs what the upstream did wrong.
-    pub fn bad_answer(&self, why: String) {
+    pub fn log_bad_answer(&self, why: String) {
         emit(&Event::BadAnswer {
             request: self.cx.request.to_string(),
             upstream: &self.agent.upstream,
--- a/crates/agent/src/claims.rs
+++ b/crates/agent/src/claims.rs
@@ -18,16 +18,16 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Jobs that may wait for the next transaction.
-const MAX_WAITING: usize = 4096;
+const MAX_QUEUED_CLAIMS: usize = 4096;
 /// Answers and releases that may wait to be written. Past this an answer isn't
 /// kept and a key stays held, which is safe.
-const MAX_AFTERWARDS: usize = 4096;
+const MAX_QUEUED_UPDATES: usize = 4096;
 
 /// What came of claiming a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// The key is ours: run the call.
-    Won(Held),
+    Won(HeldClaim),
     /// The key's call was answered before.
     Kept(KeptAnswer),
     /// The key was used before, and its answer can't be told.
@@ -40,7 +40,7 @@
 
 /// A claim that this agent holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldClaim {
     /// The row's key.
     pub key: String,
     /// The row's version.
@@ -51,38 +51,38 @@
 
 /// A claim to be made.
 #[derive(Debug)]
-pub struct Job {
+pub struct ClaimJob {
     /// The row's key.
     pub key: String,
     /// The row, in state held.
     pub claim: Claim,
     /// Whether every earlier try of the same request came back as not run.
     pub none_has_run: bool,
-    reply: oneshot::Sender<Claimed>,
+    reply: oneshot::Sender<ClaimResult>,
 }
 
 /// What is to be written once a claim has served.
 #[derive(Debug)]
-enum After {
+enum ClaimUpdate {
     /// The call's end.
-    Close(Held, ClaimState),
+    Finish(HeldClaim, ClaimState),
     /// A claim whose write's outcome is unknown, to be released.
     Release {
         key: String,
         claim: Claim,
         /// Version of the row that the claim was to be written over.
-        over: u64,
+        expected_version: u64,
     },
     /// Answers when all before it were tried.
-    Settled(oneshot::Sender<()>),
+    Flush(oneshot::Sender<()>),
 }
 
 /// Claims of one agent. Closing the channels ends the tasks.
 #[derive(Debug)]
 pub struct Claims {
     agent: String,
-    jobs: mpsc::Sender<Job>,
-    after: mpsc::Sender<After>,
+    jobs: mpsc::Sender<ClaimJob>,
+    updates: mpsc::Sender<ClaimUpdate>,
 }
 
 impl Claims {
@@ -91,15 +91,19 @@
     where
         T: Table + Clone + Send + Sync + 'static,
     {
-        let (jobs, jobs_rx) = mpsc::channel(MAX_WAITING);
-        let (after, after_rx) = mpsc::channel(MAX_AFTERWARDS);
+        let (jobs, jobs_rx) = mpsc::channel(MAX_QUEUED_CLAIMS);
+        let (updates, updates_rx) = mpsc::channel(MAX_QUEUED_UPDATES);
         let batcher = Batcher {
             table: table.clone(),
-            after: after.clone(),
+            updates: updates.clone(),
         };
         tokio::spawn(batcher.run(jobs_rx));
-        tokio::spawn(batch::write_after(table, after_rx));
-        Arc::new(Self { agent, jobs, after })
+        tokio::spawn(batch::write_updates(table, updates_rx));
+        Arc::new(Self {
+            agent,
+            jobs,
+            updates,
+        })
     }
 
     /// The agent's name in claims.
@@ -108,32 +112,32 @@
     }
 
     /// Claims a key.
-    pub async fn claim(&self, key: String, claim: Claim, none_has_run: bool) -> Claimed {
+    pub async fn claim(&self, key: String, claim: Claim, none_has_run: bool) -> ClaimResult {
         let (reply, rx) = oneshot::channel();
-        let job = Job {
+        let job = ClaimJob {
             key,
             claim,
             none_has_run,
             reply,
         };
         if self.jobs.try_send(job).is_err() {
-            return Claimed::Unavailable;
+            return ClaimResult::Unavailable;
         }
         // The batcher answers each job; it only ends with the process.
-        rx.await.unwrap_or(Claimed::Unavailable)
+        rx.await.unwrap_or(ClaimResult::Unavailable)
     }
 
     /// Writes how a claimed call ended, after the caller has its answer.
-    pub fn close(&self, held: Held, state: ClaimState) {
+    pub fn finish(&self, held: HeldClaim, state: ClaimState) {
         // With no room the key stays held: a repeat is told `unknown`, which is true.
-        let _ = self.after.try_send(After::Close(held, state));
+        let _ = self.updates.try_send(ClaimUpdate::Finish(held, state));
     }
 
     /// Waits until all that was closed so far was tried, for at most `within`.
-    pub async fn settled(&self, within: Duration) {
+    pub async fn flush(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         let wait = async {
-            if self.after.send(After::Settled(tx)).await.is_ok() {
+            if self.updates.send(ClaimUpdate::Flush(tx)).await.is_ok() {
                 // The writer answers or ends; both end the wait.
                 let _ = rx.await;
             }
--- a/crates/agent/src/complete.rs
+++ b/crates/agent/src/complete.rs
@@ -1,6 +1,6 @@
 //! A completion by the engine.
 
-use crate::attempt::{End, Try};
+use crate::attempt::{Attempt, AttemptResult};
 use engine::client::Token;
 use engine::dialect::CompletionBody;
 use engine::{EngineError, Stream};
@@ -9,72 +9,80 @@
 use wire::{Completion, Part, Reason, Refusal, prefix};
 
 /// Runs a completion and sends its tokens.
-pub async fn complete(t: &mut Try<'_>, c: &Completion, model: &str) -> End {
+pub async fn complete(attempt: &mut Attempt<'_>, c: &Completion, model: &str) -> AttemptResult {
     let hashes = prefix::hashes(c.prompt.as_bytes());
-    let cached = t.agent.prefixes.cached(&hashes);
+    let cached_bytes = attempt.agent.prefixes.cached_len(&hashes);
     let body = CompletionBody {
         // With the try's number, so that a late chunk of an earlier try is foreign.
-        request_id: format!("{}-{}", t.cx.request, t.cx.attempt),
+        request_id: format!("{}-{}", attempt.cx.request, attempt.cx.attempt),
         model: model.to_owned(),
         prompt: c.prompt.clone(),
         max_tokens: c.max_tokens,
-        priority: t.class.urgency,
+        priority: attempt.class.urgency,
         resume_from: c.resume_from,
         stream: true,
     };
-    let begun = Instant::now();
-    let idle = t.agent.node.settings.limits.idle_timeout;
-    let started = tokio::time::timeout(idle, t.agent.engine.complete(&body)).await;
+    let started_at = Instant::now();
+    let idle = attempt.agent.node.settings.limits.idle_timeout;
+    let started = tokio::time::timeout(idle, attempt.agent.engine.complete(&body)).await;
     let mut stream = match started {
         Ok(Ok(stream)) => stream,
         Ok(Err(EngineError::Call(CallError::NotSent(why)))) => {
-            t.bad_answer(why);
-            return End::Refused(Refusal::not_run(Reason::UpstreamBroken));
+            attempt.log_bad_answer(why);
+            return AttemptResult::Refused(Refusal::not_run(Reason::UpstreamBroken));
         }
         Ok(Err(EngineError::Refused(_))) => {
-            return End::Refused(Refusal::not_run(Reason::NotReady));
+            return AttemptResult::Refused(Refusal::not_run(Reason::NotReady));
         }
-        Ok(Err(e)) => return broken(t, &e.to_string()),
-        Err(_) => return broken(t, "no answer in time"),
+        Ok(Err(e)) => return broken(attempt, &e.to_string()),
+        Err(_) => return broken(attempt, "no answer in time"),
     };
-    let end = pass_on(t, c, &mut stream).await;
-    if let Some(first) = t.times.first {
+    let result = forward_tokens(attempt, c, &mut stream).await;
+    if let Some(first) = attempt.times.first_byte {
         // Only what the engine itself took counts for its rates.
-        let first_ms = (first.saturating_sub(t.times.queue)).as_secs_f64() * 1000.0;
-        let total_ms = begun.elapsed().as_secs_f64() * 1000.0;
-        t.agent.prefixes.add(&hashes);
-        t.agent
+        let first_byte_ms = (first.saturating_sub(attempt.times.queue)).as_secs_f64() * 1000.0;
+        let total_ms = started_at.elapsed().as_secs_f64() * 1000.0;
+        attempt.agent.prefixes.add(&hashes);
+        attempt
+            .agent
             .rates
-            .learn_read(c.prompt.len().saturating_sub(cached), first_ms);
-        if let End::Answered(count) = end {
+            .record_prefill(c.prompt.len().saturating_sub(cached_bytes), first_byte_ms);
+        if let AttemptResult::Answered(count) = result {
             let written = (count as u32).saturating_sub(c.resume_from + 1);
-            t.agent.rates.learn_write(written, total_ms - first_ms);
+            attempt
+                .agent
+                .rates
+                .record_decode(written, total_ms - first_byte_ms);
         }
     }
-    end
+    result
 }
 
-async fn pass_on(t: &mut Try<'_>, c: &Completion, stream: &mut Stream) -> End {
-    let idle = t.agent.node.settings.limits.idle_timeout;
+async fn forward_tokens(
+    attempt: &mut Attempt<'_>,
+    c: &Completion,
+    stream: &mut Stream,
+) -> AttemptResult {
+    let idle = attempt.agent.node.settings.limits.idle_timeout;
     let mut count = c.resume_from;
     loop {
         match tokio::time::timeout(idle, stream.next()).await {
             Ok(Ok(Token::Text(text))) => {
-                t.first_byte();
+                attempt.record_first_byte();
                 count += 1;
-                if t.frames.send(Part::Token(text)).await.is_err() {
-                    return End::Gone;
+                if attempt.frames.send(Part::Token(text)).await.is_err() {
+                    return AttemptResult::EntryGone;
                 }
             }
-            Ok(Ok(Token::End(n))) if n == count => return End::Answered(u64::from(n)),
-            Ok(Ok(Token::End(_))) => return broken(t, "count of tokens is off"),
-            Ok(Err(e)) => return broken(t, &e.to_string()),
-            Err(_) => return broken(t, "no token in time"),
+            Ok(Ok(Token::End(n))) if n == count => return AttemptResult::Answered(u64::from(n)),
+            Ok(Ok(Token::End(_))) => return broken(attempt, "count of tokens is off"),
+            Ok(Err(e)) => return broken(attempt, &e.to_string()),
+            Err(_) => return broken(attempt, "no token in time"),
         }
     }
 }
 
-fn broken(t: &Try<'_>, why: &str) -> End {
-    t.bad_answer(why.to_owned());
-    End::Broken
+fn broken(attempt: &Attempt<'_>, why: &str) -> AttemptResult {
+    attempt.log_bad_answer(why.to_owned());
+    AttemptResult::Broken
 }
--- a/crates/agent/src/ends.rs
+++ b/crates/agent/src/exits.rs
@@ -6,7 +6,7 @@
 
 /// Counts the upstream's ends.
 #[derive(Debug, Default)]
-pub struct UpstreamEnds {
+pub struct UpstreamExits {
     inner: Mutex<Inner>,
 }
 
@@ -17,11 +17,11 @@
     last: Option<Instant>,
 }
 
-impl UpstreamEnds {
+impl UpstreamExits {
     /// Notes that a try saw it end that was sent to it at a time; gives a number that tells
     /// this end from those of other upstreams and of other processes, `agent` being this
     /// one's name and start. One that was sent after the last end saw another.
-    pub fn ended(&self, agent: &str, sent_at: Instant) -> u32 {
+    pub fn record_exit(&self, agent: &str, sent_at: Instant) -> u32 {
         let mut inner = self.inner.lock().expect("no panic while locked");
         if inner.last.is_none_or(|last| sent_at > last) {
             inner.count += 1;
--- a/crates/agent/src/frames.rs
+++ b/crates/agent/src/frames.rs
@@ -7,22 +7,22 @@
 
 /// The way back to the entry, for one try.
 #[derive(Debug)]
-pub struct Frames {
+pub struct FrameSender {
     tx: BodySender,
     request: RequestId,
-    next: u32,
-    patience: Duration,
+    next_index: u32,
+    send_timeout: Duration,
 }
 
-impl Frames {
+impl FrameSender {
     /// Frames for a request on a body. An entry that takes nothing for as long as
     /// `patience` counts as gone, or it would hold a slot of the upstream.
-    pub fn new(tx: BodySender, request: RequestId, patience: Duration) -> Self {
+    pub fn new(tx: BodySender, request: RequestId, send_timeout: Duration) -> Self {
         Self {
             tx,
             request,
-            next: 0,
-            patience,
+            next_index: 0,
+            send_timeout,
         }
     }
 
@@ -30,12 +30,12 @@
     pub async fn send(&mut self, part: Part) -> Result<(), Gone> {
         let frame = Frame {
             request: self.request,
-            index: self.next,
+            index: self.next_index,
             part,
         };
-        self.next += 1;
+        self.next_index += 1;
         let send = self.tx.send(frame.encode());
-        tokio::time::timeout(self.patience, send)
+        tokio::time::timeout(self.send_timeout, send)
             .await
             .unwrap_or(Err(Gone))
     }
@@ -54,8 +54,8 @@
     }
 
     /// Ends the answer as broken off by the upstream's end.
-    pub async fn upstream_ended(mut self, end: u32) {
-        let _ = self.send(Part::UpstreamEnded { end }).await;
+    pub async fn upstream_ended(mut self, exit_id: u32) {
+        let _ = self.send(Part::UpstreamEnded { end: exit_id }).await;
         self.tx.finish().await;
     }
 
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -9,7 +9,7 @@
 mod attempt;
 pub mod claims;
 mod complete;
-mod ends;
+mod exits;
 mod frames;
 mod orders;
 mod peer;
@@ -57,7 +57,7 @@
         admin,
     });
     tokio::spawn(node.clone().stop_when_leaving());
-    tokio::spawn(orders::tend(agent.clone(), desired));
+    tokio::spawn(orders::reconcile(agent.clone(), desired));
     let serving = Stop::default();
     let server = Server {
         head: HeadLimits::new(node.settings.limits.read_timeout, node.settings.limits.head),
@@ -82,11 +82,11 @@
     emit(&Event::Stopping {
         why: "signal or leaving host",
     });
-    agent.leave();
+    agent.begin_stop();
     let node = &agent.node;
     node.begin_stop(node.settings.limits.drain_bound);
     let unfinished = node.drained(std::future::ready(())).await;
-    agent.claims.settled(node.last_answers()).await;
+    agent.claims.flush(node.last_answers()).await;
     serving.stop();
     emit(&Event::Stopped { unfinished });
 }
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -22,42 +22,42 @@
 use wire::Role;
 
 /// Time between looks at an upstream that is as desired.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between looks during a change.
-const CHANGE_LOOK: Duration = Duration::from_millis(20);
+const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest that a change may take before it counts as failed.
-const CHANGE_BOUND: Duration = Duration::from_secs(60);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long an engine must have stood still before an order, if another one may
 /// still be on its way to it.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Tries of one order before the engine counts as broken.
-const TRIES: u32 = 3;
+const MAX_ORDER_ATTEMPTS: u32 = 3;
 
 /// Tends the upstream until the process ends.
-pub async fn tend(agent: Arc<Agent>, mut desired: watch::Receiver<Vec<Row>>) {
-    let mut tries = Tries {
+pub async fn reconcile(agent: Arc<Agent>, mut desired: watch::Receiver<Vec<Row>>) {
+    let mut attempts = OrderAttempts {
         order: 0,
-        made: 0,
+        count: 0,
         // An agent before this one may have left an order on its way.
-        astray: true,
+        may_be_in_flight: true,
     };
     let mut changed = agent.node.documents.watch();
     let mut events = 0;
     loop {
         if let Some(doc) = agent.doc() {
-            let slots = agent.me(&doc.doc).map_or(0, |u| u.slots);
+            let slots = agent.upstream_in(&doc.doc).map_or(0, |u| u.slots);
             agent.admission.set_slots(slots);
             if doc.doc.is_engine() {
                 let row = desired.borrow_and_update().first().cloned();
-                tend_engine(&agent, &doc, row, &mut tries).await;
-                events = read_events(&agent, events).await;
+                reconcile_engine(&agent, &doc, row, &mut attempts).await;
+                events = apply_cache_events(&agent, events).await;
             } else {
-                set(&agent, true, None, None);
+                set_upstream_state(&agent, true, None, None);
             }
         }
         // Whichever comes first makes the next look.
         tokio::select! {
-            () = tokio::time::sleep(around(LOOK)) => {}
+            () = tokio::time::sleep(around(POLL_INTERVAL)) => {}
             _ = desired.changed() => {}
             _ = changed.changed() => {}
         }
@@ -65,63 +65,68 @@
 }
 
 /// Counts the tries of one order.
-struct Tries {
+struct OrderAttempts {
     order: u64,
-    made: u32,
+    count: u32,
     /// Whether an order may still be on its way to the engine.
-    astray: bool,
+    may_be_in_flight: bool,
 }
 
-impl Tries {
+impl OrderAttempts {
     /// Whether another try of an order may be made.
-    fn may(&mut self, order: u64) -> bool {
+    fn may_try(&mut self, order: u64) -> bool {
         if self.order != order {
             self.order = order;
-            self.made = 0;
+            self.count = 0;
         }
-        self.made < TRIES
+        self.count < MAX_ORDER_ATTEMPTS
     }
 }
 
-async fn tend_engine(agent: &Agent, doc: &InForce, row: Option<Row>, tries: &mut Tries) {
+async fn reconcile_engine(
+    agent: &Agent,
+    doc: &InForce,
+    row: Option<Row>,
+    attempts: &mut OrderAttempts,
+) {
     let Some(desired) = row.and_then(|r| decode::<Desired>(&r.value)) else {
-        set(agent, false, None, Some("no order yet".into()));
+        set_upstream_state(agent, false, None, Some("no order yet".into()));
         return;
     };
     let state = match agent.engine.state().await {
         Ok(state) => state,
         Err(e) => {
-            unusable(agent, e.to_string());
+            set_unusable(agent, e.to_string());
             return;
         }
     };
     if is_as_desired(&state, &desired) {
-        tries.made = 0;
-        set(agent, true, Some(&state), None);
+        attempts.count = 0;
+        set_upstream_state(agent, true, Some(&state), None);
         return;
     }
-    if !tries.may(desired.order) {
-        unusable(
+    if !attempts.may_try(desired.order) {
+        set_unusable(
             agent,
-            format!("order {} failed {TRIES} times", desired.order),
+            format!("order {} failed {MAX_ORDER_ATTEMPTS} times", desired.order),
         );
         return;
     }
     // Nothing is cut off: what runs ends first. Past the bound the change waits
     // for the next look, and the engine still takes nothing new.
-    set(
+    set_upstream_state(
         agent,
         false,
         None,
         Some(format!("draining for order {}", desired.order)),
     );
-    if !drained(agent, doc.doc.drain_bound).await {
-        unusable(agent, "requests still run past the drain bound".into());
+    if !wait_until_drained(agent, doc.doc.drain_bound).await {
+        set_unusable(agent, "requests still run past the drain bound".into());
         return;
     }
-    tries.made += 1;
-    if let Err(why) = change(agent, &desired, &mut tries.astray).await {
-        unusable(agent, why);
+    attempts.count += 1;
+    if let Err(why) = apply_order(agent, &desired, &mut attempts.may_be_in_flight).await {
+        set_unusable(agent, why);
     } else {
         emit(&Event::OrderDone {
             upstream: &agent.upstream,
@@ -131,11 +136,15 @@
 }
 
 /// Makes a drained engine as desired.
-async fn change(agent: &Agent, desired: &Desired, astray: &mut bool) -> Result<(), String> {
-    let mut state = quiet(agent).await?;
-    if *astray {
-        state = settled(agent, state).await?;
-        *astray = false;
+async fn apply_order(
+    agent: &Agent,
+    desired: &Desired,
+    may_be_in_flight: &mut bool,
+) -> Result<(), String> {
+    let mut state = wait_until_stable(agent).await?;
+    if *may_be_in_flight {
+        state = wait_until_settled(agent, state).await?;
+        *may_be_in_flight = false;
     }
     if is_as_desired(&state, desired) {
         return Ok(());
@@ -151,14 +160,14 @@
     });
     agent.prefixes.clear();
     // Until the engine has answered, the order may be anywhere.
-    *astray = true;
+    *may_be_in_flight = true;
     agent
         .engine
         .order(&order)
         .await
         .map_err(|e| e.to_string())?;
-    *astray = false;
-    let state = quiet(agent).await?;
+    *may_be_in_flight = false;
+    let state = wait_until_stable(agent).await?;
     if is_as_desired(&state, desired) {
         Ok(())
     } else {
@@ -167,36 +176,36 @@
 }
 
 /// Waits until the engine has stood still for [`SETTLE`].
-async fn settled(agent: &Agent, first: EngineState) -> Result<EngineState, String> {
-    let mut still = (first, Instant::now());
-    while still.1.elapsed() < SETTLE {
-        tokio::time::sleep(CHANGE_LOOK).await;
-        let state = quiet(agent).await?;
-        if state != still.0 {
-            still = (state, Instant::now());
+async fn wait_until_settled(agent: &Agent, first: EngineState) -> Result<EngineState, String> {
+    let mut unchanged = (first, Instant::now());
+    while unchanged.1.elapsed() < SETTLE_TIME {
+        tokio::time::sleep(CHANGE_POLL_INTERVAL).await;
+        let state = wait_until_stable(agent).await?;
+        if state != unchanged.0 {
+            unchanged = (state, Instant::now());
         }
     }
-    Ok(still.0)
+    Ok(unchanged.0)
 }
 
 fn is_as_desired(state: &EngineState, desired: &Desired) -> bool {
     !state.changing && state.role == desired.role && state.model.as_ref() == Some(&desired.model)
 }
 
-async fn drained(agent: &Agent, bound: Duration) -> bool {
+async fn wait_until_drained(agent: &Agent, bound: Duration) -> bool {
     let until = Instant::now() + bound;
     while agent.admission.counts().1 > 0 {
         if Instant::now() >= until {
             return false;
         }
-        tokio::time::sleep(CHANGE_LOOK).await;
+        tokio::time::sleep(CHANGE_POLL_INTERVAL).await;
     }
     true
 }
 
 /// Waits until no change is under way at the engine.
-async fn quiet(agent: &Agent) -> Result<EngineState, String> {
-    let until = Instant::now() + CHANGE_BOUND;
+async fn wait_until_stable(agent: &Agent) -> Result<EngineState, String> {
+    let until = Instant::now() + CHANGE_TIMEOUT;
     loop {
         let state = agent.engine.state().await.map_err(|e| e.to_string())?;
         if !state.changing {
@@ -205,11 +214,11 @@
         if Instant::now() >= until {
             return Err("the change takes too long".into());
         }
-        tokio::time::sleep(CHANGE_LOOK).await;
+        tokio::time::sleep(CHANGE_POLL_INTERVAL).await;
     }
 }
 
-async fn read_events(agent: &Agent, after: u64) -> u64 {
+async fn apply_cache_events(agent: &Agent, after: u64) -> u64 {
     // Without events the agent's own view of the cache stands.
     let Ok(events) = agent.engine.cache_events(after).await else {
         return after;
@@ -218,18 +227,23 @@
     events.last
 }
 
-fn unusable(agent: &Agent, why: String) {
+fn set_unusable(agent: &Agent, why: String) {
     if agent.upstream_state().fault.as_ref() != Some(&why) {
         emit(&Event::UpstreamBroken {
             upstream: &agent.upstream,
             why: why.clone(),
         });
     }
-    set(agent, false, None, Some(why));
+    set_upstream_state(agent, false, None, Some(why));
 }
 
-fn set(agent: &Agent, usable: bool, state: Option<&EngineState>, fault: Option<String>) {
-    agent.set_upstream(UpstreamState {
+fn set_upstream_state(
+    agent: &Agent,
+    usable: bool,
+    state: Option<&EngineState>,
+    fault: Option<String>,
+) {
+    agent.set_upstream_state(UpstreamState {
         usable,
         role: state.map_or(Role::Mixed, |s| s.role),
         model: state.and_then(|s| s.model.clone()),
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -15,43 +15,43 @@
 };
 
 /// Frames that an entry may be behind before the upstream waits for it.
-const FRAME_SLACK: usize = 64;
+const MAX_BUFFERED_FRAMES: usize = 64;
 /// What a message adds to the body that it carries, at most.
-const MESSAGE_SLACK: usize = 64 << 10;
+const MAX_MESSAGE_OVERHEAD: usize = 64 << 10;
 
 /// Answers a peer.
 pub async fn serve(agent: Arc<Agent>, req: Request<Incoming>) -> Response<Body> {
     let (head, body) = req.into_parts();
     let limits = &agent.node.settings.limits;
-    let limit = limits.body + MESSAGE_SLACK;
+    let limit = limits.body + MAX_MESSAGE_OVERHEAD;
     let Ok(body) = read_body(body, limit, limits.read_timeout).await else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
     match (head.method, head.uri.path()) {
         (Method::POST, PATH_PROBE) => probe(&agent, &body),
-        (Method::POST, PATH_RUN) => begin(agent, &body),
-        (Method::POST, PATH_DOC) => take_doc(&agent, &body),
+        (Method::POST, PATH_RUN) => start_attempt(agent, &body),
+        (Method::POST, PATH_DOC) => receive_doc(&agent, &body),
         (Method::GET, PATH_DOC) => match agent.node.documents.text(&agent.service) {
-            Some(text) => message(&text),
-            None => status(StatusCode::NOT_FOUND),
+            Some(text) => encoded_response(&text),
+            None => status_response(StatusCode::NOT_FOUND),
         },
-        (Method::GET, PATH_STATUS) => message(&agent.status()),
+        (Method::GET, PATH_STATUS) => encoded_response(&agent.status()),
         (Method::POST, PATH_NUDGE) => {
             agent.node.nudge.notify_one();
-            status(StatusCode::OK)
+            status_response(StatusCode::OK)
         }
-        _ => status(StatusCode::NOT_FOUND),
+        _ => status_response(StatusCode::NOT_FOUND),
     }
 }
 
 fn probe(agent: &Agent, body: &[u8]) -> Response<Body> {
     let Some(p) = decode::<Probe>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
     agent.node.documents.heard(&p.service, p.doc_version);
     let answer = ProbeAnswer {
         state: agent.state(),
-        wait_ms: expected_ms(agent, &p),
+        wait_ms: expected_first_byte_ms(agent, &p),
         load: agent.admission.load(),
         role: agent.upstream_state().role,
         doc_version: agent.node.documents.version(&agent.service),
@@ -60,46 +60,48 @@
 }
 
 /// Expected time to the first byte of the answer to what the probe is about.
-fn expected_ms(agent: &Agent, p: &Probe) -> u64 {
+fn expected_first_byte_ms(agent: &Agent, p: &Probe) -> u64 {
     let Some(doc) = agent.doc() else { return 0 };
     let Some(id) = doc.doc.class_named(&p.class) else {
         return 0;
     };
     let class = doc.doc.class(id);
     let cost: Cost = if doc.doc.is_engine() {
-        let cached = agent
+        let cached_bytes = agent
             .prefixes
-            .cached(&p.prefixes)
+            .cached_len(&p.prefixes)
             .min(p.prompt_len as usize);
-        agent.rates.completion(p.prompt_len as usize - cached, 0)
+        agent
+            .rates
+            .completion_cost(p.prompt_len as usize - cached_bytes, 0)
     } else {
-        agent.rates.plain(&class.name)
+        agent.rates.plain_cost(&class.name)
     };
-    (agent.admission.expected_wait_ms(class) + cost.first_ms) as u64
+    (agent.admission.expected_wait_ms(class) + cost.first_byte_ms) as u64
 }
 
-fn begin(agent: Arc<Agent>, body: &[u8]) -> Response<Body> {
+fn start_attempt(agent: Arc<Agent>, body: &[u8]) -> Response<Body> {
     let Some((cx, call)) = decode::<(RequestContext, Call)>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
-    let (tx, answer) = stream(FRAME_SLACK);
+    let (tx, answer) = stream(MAX_BUFFERED_FRAMES);
     tokio::spawn(run::serve(agent, cx, call, tx));
     Response::new(answer)
 }
 
-fn take_doc(agent: &Agent, body: &[u8]) -> Response<Body> {
+fn receive_doc(agent: &Agent, body: &[u8]) -> Response<Body> {
     let Some(text) = decode::<DocText>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
     agent.node.documents.offer(&text);
-    status(StatusCode::OK)
+    status_response(StatusCode::OK)
 }
 
-fn message<T: serde::Serialize>(msg: &T) -> Response<Body> {
+fn encoded_response<T: serde::Serialize>(msg: &T) -> Response<Body> {
     Response::new(full(Bytes::from(encode(msg))))
 }
 
-fn status(code: StatusCode) -> Response<Body> {
+fn status_response(code: StatusCode) -> Response<Body> {
     let mut answer = Response::new(empty());
     *answer.status_mut() = code;
     answer
--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -3,8 +3,8 @@
 //! The answer is read in whole before its first byte goes back, so that a
 //! caller gets all of it or a typed refusal.
 
-use crate::attempt::{End, Try};
-use crate::claims::{Claimed, Held};
+use crate::attempt::{Attempt, AttemptResult};
+use crate::claims::{ClaimResult, HeldClaim};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -18,47 +18,47 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Waits before a key in use is looked at again.
-const REPEAT_PAUSES: [Duration; 3] = [
+const KEY_IN_USE_DELAYS: [Duration; 3] = [
     Duration::from_millis(50),
     Duration::from_millis(100),
     Duration::from_millis(250),
 ];
 /// Largest piece of an answer in one frame.
-const PIECE: usize = 64 << 10;
+const MAX_BODY_FRAME: usize = 64 << 10;
 
 /// An upstream's whole answer.
-struct Whole {
+struct UpstreamResponse {
     status: u16,
     content_type: Option<String>,
     body: Bytes,
 }
 
 /// Runs a plain call and sends its answer.
-pub async fn call_plain(t: &mut Try<'_>, call: &PlainCall) -> End {
-    if t.class.idempotent {
-        return match send(t, call).await {
-            Ok(whole) => give(t, &whole, false).await,
+pub async fn call_plain(attempt: &mut Attempt<'_>, call: &PlainCall) -> AttemptResult {
+    if attempt.class.idempotent {
+        return match call_upstream(attempt, call).await {
+            Ok(response) => send_response(attempt, &response, false).await,
             Err(CallError::NotSent(why)) => {
-                t.bad_answer(why);
-                End::Refused(Refusal::not_run(Reason::UpstreamBroken))
+                attempt.log_bad_answer(why);
+                AttemptResult::Refused(Refusal::not_run(Reason::UpstreamBroken))
             }
             Err(CallError::MaybeSent(why)) => {
-                t.bad_answer(why);
-                End::Broken
+                attempt.log_bad_answer(why);
+                AttemptResult::Broken
             }
         };
     }
-    match claim(t, call).await {
-        Claimed::Won(held) => run_once(t, call, held).await,
-        Claimed::Kept(kept) => {
+    match claim_call(attempt, call).await {
+        ClaimResult::Won(held) => run_claimed(attempt, call, held).await,
+        ClaimResult::Kept(kept) => {
             let KeptAnswer {
                 status,
                 content_type,
                 body,
             } = kept;
-            give(
-                t,
-                &Whole {
+            send_response(
+                attempt,
+                &UpstreamResponse {
                     status,
                     content_type,
                     body: Bytes::from(body),
@@ -67,83 +67,98 @@
             )
             .await
         }
-        Claimed::InUse => End::Refused(Refusal::unknown(Reason::KeyInUse)),
-        Claimed::OtherCall => End::Refused(Refusal::not_run(Reason::BadRequest)),
-        Claimed::Unavailable => End::Refused(Refusal::not_run(Reason::ClaimUnavailable)),
+        ClaimResult::InUse => AttemptResult::Refused(Refusal::unknown(Reason::KeyInUse)),
+        ClaimResult::OtherCall => AttemptResult::Refused(Refusal::not_run(Reason::BadRequest)),
+        ClaimResult::Unavailable => {
+            AttemptResult::Refused(Refusal::not_run(Reason::ClaimUnavailable))
+        }
     }
 }
 
 /// Claims a call's key. A key whose first call still runs is waited for a little,
 /// so that a caller who repeats at once gets the answer and not `unknown`.
-async fn claim(t: &Try<'_>, call: &PlainCall) -> Claimed {
-    let key = claim_key(&t.cx.service, &t.cx.tenant, &row_key(t, call));
-    let once = || {
-        t.agent
-            .claims
-            .claim(key.clone(), new_claim(t, call), t.cx.none_has_run)
+async fn claim_call(attempt: &Attempt<'_>, call: &PlainCall) -> ClaimResult {
+    let key = claim_key(
+        &attempt.cx.service,
+        &attempt.cx.tenant,
+        &idempotency_key(attempt, call),
+    );
+    let try_claim = || {
+        attempt.agent.claims.claim(
+            key.clone(),
+            new_claim(attempt, call),
+            attempt.cx.none_has_run,
+        )
     };
-    let mut claimed = once().await;
-    for pause in REPEAT_PAUSES {
-        if claimed != Claimed::InUse {
+    let mut claimed = try_claim().await;
+    for delay in KEY_IN_USE_DELAYS {
+        if claimed != ClaimResult::InUse {
             break;
         }
-        tokio::time::sleep(pause).await;
-        claimed = once().await;
+        tokio::time::sleep(delay).await;
+        claimed = try_claim().await;
     }
     claimed
 }
 
 /// The key under which a call is claimed: the caller's own, or the request's id.
-fn row_key(t: &Try<'_>, call: &PlainCall) -> String {
+fn idempotency_key(attempt: &Attempt<'_>, call: &PlainCall) -> String {
     match &call.key {
         Some(key) => format!("key/{key}"),
-        None => format!("request/{}", t.cx.request),
+        None => format!("request/{}", attempt.cx.request),
     }
 }
 
-fn new_claim(t: &Try<'_>, call: &PlainCall) -> Claim {
-    let mut text = format!("{} {}\n", call.method, call.path).into_bytes();
-    text.extend_from_slice(&call.body);
+fn new_claim(attempt: &Attempt<'_>, call: &PlainCall) -> Claim {
+    let mut digest_input = format!("{} {}\n", call.method, call.path).into_bytes();
+    digest_input.extend_from_slice(&call.body);
     Claim {
-        request: t.cx.request,
-        attempt: t.cx.attempt,
-        agent: t.agent.claims.agent().to_owned(),
-        digest: xxh3_64(&text),
+        request: attempt.cx.request,
+        attempt: attempt.cx.attempt,
+        agent: attempt.agent.claims.agent().to_owned(),
+        digest: xxh3_64(&digest_input),
         state: ClaimState::Held,
         made_ms: now_ms(),
     }
 }
 
 /// Runs a call whose key is ours.
-async fn run_once(t: &mut Try<'_>, call: &PlainCall, held: Held) -> End {
-    if !t.agent.may_begin() {
-        t.agent.claims.close(held, ClaimState::Released);
-        return End::Refused(Refusal::not_run(Reason::Leaving));
+async fn run_claimed(
+    attempt: &mut Attempt<'_>,
+    call: &PlainCall,
+    held: HeldClaim,
+) -> AttemptResult {
+    if !attempt.agent.may_start_call() {
+        attempt.agent.claims.finish(held, ClaimState::Released);
+        return AttemptResult::Refused(Refusal::not_run(Reason::Leaving));
     }
-    match send(t, call).await {
-        Ok(whole) => {
-            t.agent.claims.close(held, keep(t, &whole));
-            give(t, &whole, false).await
+    match call_upstream(attempt, call).await {
+        Ok(response) => {
+            attempt
+                .agent
+                .claims
+                .finish(held, answered_state(attempt, &response));
+            send_response(attempt, &response, false).await
         }
         Err(CallError::NotSent(why)) => {
-            t.bad_answer(why);
-            t.agent.claims.close(held, ClaimState::Released);
-            End::Refused(Refusal::not_run(Reason::UpstreamBroken))
+            attempt.log_bad_answer(why);
+            attempt.agent.claims.finish(held, ClaimState::Released);
+            AttemptResult::Refused(Refusal::not_run(Reason::UpstreamBroken))
         }
         // The key stays held: nobody can tell whether the call took effect.
         Err(CallError::MaybeSent(why)) => {
-            t.bad_answer(why);
-            End::Refused(Refusal::unknown(Reason::UpstreamBroken))
+            attempt.log_bad_answer(why);
+            AttemptResult::Refused(Refusal::unknown(Reason::UpstreamBroken))
         }
     }
 }
 
-fn keep(t: &Try<'_>, whole: &Whole) -> ClaimState {
-    let limit = t.agent.node.settings.limits.kept_answer;
-    match std::str::from_utf8(&whole.body) {
+fn answered_state(attempt: &Attempt<'_>, response: &UpstreamResponse) -> ClaimState {
+    let limit = attempt.agent.node.settings.limits.kept_answer;
+    match std::str::from_utf8(&response.body) {
         Ok(text) if text.len() <= limit => ClaimState::Answered(KeptAnswer {
-            status: whole.status,
-            content_type: whole.content_type.clone(),
+            status: response.status,
+            content_type: response.content_type.clone(),
             body: text.to_owned(),
         }),
         _ => ClaimState::TooLargeToKeep,
@@ -151,29 +166,33 @@
 }
 
 /// Sends the call and reads the whole answer.
-async fn send(t: &mut Try<'_>, call: &PlainCall) -> Result<Whole, CallError> {
-    let Some(req) = request(t, call) else {
+async fn call_upstream(
+    attempt: &mut Attempt<'_>,
+    call: &PlainCall,
+) -> Result<UpstreamResponse, CallError> {
+    let Some(req) = build_request(attempt, call) else {
         return Err(CallError::NotSent("the call can't be put into HTTP".into()));
     };
-    let limits = &t.agent.node.settings.limits;
-    let begun = Instant::now();
-    let whole = async {
+    let limits = &attempt.agent.node.settings.limits;
+    let started_at = Instant::now();
+    let response = async {
         // Always a new connection: on a kept one that the upstream closes just
         // now, nobody could tell whether the call was seen.
-        let answer = t.agent.plain.send_fresh(req).await?;
-        read(answer, limits.body).await
+        let answer = attempt.agent.plain.send_fresh(req).await?;
+        read_response(answer, limits.body).await
     };
-    let whole = match tokio::time::timeout(limits.idle_timeout, whole).await {
-        Ok(whole) => whole?,
+    let response = match tokio::time::timeout(limits.idle_timeout, response).await {
+        Ok(response) => response?,
         Err(_) => return Err(CallError::MaybeSent("no answer in time".into())),
     };
-    t.agent
-        .rates
-        .learn_plain(&t.class.name, begun.elapsed().as_secs_f64() * 1000.0);
-    Ok(whole)
+    attempt.agent.rates.record_plain(
+        &attempt.class.name,
+        started_at.elapsed().as_secs_f64() * 1000.0,
+    );
+    Ok(response)
 }
 
-async fn read(mut answer: Answer, limit: usize) -> Result<Whole, CallError> {
+async fn read_response(mut answer: Answer, limit: usize) -> Result<UpstreamResponse, CallError> {
     let head = &answer.response;
     let status = head.status().as_u16();
     let content_type = head
@@ -187,23 +206,23 @@
     let body = body
         .map_err(|e| CallError::MaybeSent(e.to_string()))?
         .to_bytes();
-    Ok(Whole {
+    Ok(UpstreamResponse {
         status,
         content_type,
         body,
     })
 }
 
-fn request(t: &Try<'_>, call: &PlainCall) -> Option<Request<Body>> {
+fn build_request(attempt: &Attempt<'_>, call: &PlainCall) -> Option<Request<Body>> {
     let method = Method::from_bytes(call.method.as_bytes()).ok()?;
     let mut req = Request::builder()
         .method(method)
         .uri(&call.path)
-        .header(HOST, t.agent.plain.addr().to_string())
-        .header("x-request-id", t.cx.request.to_string())
-        .header("x-tenant", &t.cx.tenant);
-    if let Some(kind) = &call.content_type {
-        req = req.header(CONTENT_TYPE, kind);
+        .header(HOST, attempt.agent.plain.addr().to_string())
+        .header("x-request-id", attempt.cx.request.to_string())
+        .header("x-tenant", &attempt.cx.tenant);
+    if let Some(content_type) = &call.content_type {
+        req = req.header(CONTENT_TYPE, content_type);
     }
     if let Some(key) = &call.key {
         req = req.header("idempotency-key", key);
@@ -212,21 +231,30 @@
 }
 
 /// Sends a whole answer back.
-async fn give(t: &mut Try<'_>, whole: &Whole, kept: bool) -> End {
-    t.first_byte();
-    let content_type = whole.content_type.clone();
+async fn send_response(
+    attempt: &mut Attempt<'_>,
+    response: &UpstreamResponse,
+    kept: bool,
+) -> AttemptResult {
+    attempt.record_first_byte();
+    let content_type = response.content_type.clone();
     let head = Part::Head {
-        status: whole.status,
+        status: response.status,
         content_type,
         kept,
     };
-    if t.frames.send(head).await.is_err() {
-        return End::Gone;
+    if attempt.frames.send(head).await.is_err() {
+        return AttemptResult::EntryGone;
     }
-    for piece in whole.body.chunks(PIECE) {
-        if t.frames.send(Part::Body(piece.to_vec())).await.is_err() {
-            return End::Gone;
+    for piece in response.body.chunks(MAX_BODY_FRAME) {
+        if attempt
+            .frames
+            .send(Part::Body(piece.to_vec()))
+            .await
+            .is_err()
+        {
+            return AttemptResult::EntryGone;
         }
     }
-    End::Answered(whole.body.len() as u64)
+    AttemptResult::Answered(response.body.len() as u64)
 }
--- a/crates/agent/src/prefixes.rs
+++ b/crates/agent/src/prefixes.rs
@@ -10,17 +10,17 @@
 use wire::prefix;
 
 /// Prefixes that are kept in mind.
-const MAX_KNOWN: usize = 8192;
+const MAX_PREFIXES: usize = 8192;
 
 /// Known prefixes, least recently used first.
 #[derive(Debug, Default)]
-pub struct Prefixes {
+pub struct CachedPrefixes {
     known: Mutex<VecDeque<u64>>,
 }
 
-impl Prefixes {
+impl CachedPrefixes {
     /// Bytes at a prompt's beginning that are likely cached.
-    pub fn cached(&self, hashes: &[u64]) -> usize {
+    pub fn cached_len(&self, hashes: &[u64]) -> usize {
         let known = self.known.lock().expect("no panic while locked");
         hashes
             .iter()
@@ -37,7 +37,7 @@
             }
             known.push_back(*h);
         }
-        let over = known.len().saturating_sub(MAX_KNOWN);
+        let over = known.len().saturating_sub(MAX_PREFIXES);
         known.drain(..over);
     }
 
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,9 +1,9 @@
 //! One try of a request, from its receipt to its last frame.
 
-use crate::admission::{Ask, MIN_RETRY_MS, Ticket};
-use crate::attempt::{End, Times, Try};
+use crate::admission::{MIN_RETRY_MS, SlotGuard, SlotRequest};
+use crate::attempt::{Attempt, AttemptResult, AttemptTimes};
 use crate::complete::complete;
-use crate::frames::Frames;
+use crate::frames::FrameSender;
 use crate::plain::call_plain;
 use crate::state::Agent;
 use net::BodySender;
@@ -16,84 +16,99 @@
 use wire::{AgentState, Call, Outcome, Part, Reason, Refusal, RequestContext, prefix};
 
 /// Longest wait for a document that the entry has and this agent hasn't.
-const DOC_WAIT: Duration = Duration::from_millis(500);
+const MAX_DOC_WAIT: Duration = Duration::from_millis(500);
 
 /// Time after a connection broke in which its upstream's other sockets close too, if its
 /// process ends: another try waits for so long.
-const ALL_CLOSED: Duration = Duration::from_millis(50);
+const EXIT_CHECK_DELAY: Duration = Duration::from_millis(50);
 
 /// Longest wait for a look at the host list after a pause of this process.
-const LIST_WAIT: Duration = Duration::from_secs(1);
+const MAX_HOST_LIST_WAIT: Duration = Duration::from_secs(1);
 
 /// Serves a try in a task of its own.
 pub async fn serve(agent: Arc<Agent>, cx: RequestContext, call: Call, tx: BodySender) {
     let _running = agent.node.begin();
-    let since = Instant::now();
-    let mut frames = Frames::new(tx, cx.request, agent.node.settings.limits.idle_timeout);
-    let mut times = Times::default();
-    let end = match check(&agent, &cx).await {
+    let received_at = Instant::now();
+    let mut frames = FrameSender::new(tx, cx.request, agent.node.settings.limits.idle_timeout);
+    let mut times = AttemptTimes::default();
+    let result = match check_request(&agent, &cx).await {
         Ok(doc) => match doc.doc.class_named(&cx.class) {
             Some(id) => {
                 let class = doc.doc.class(id);
                 let (doc, frames, times) = (&doc, &mut frames, &mut times);
-                let t = Try {
+                let attempt = Attempt {
                     agent: &agent,
                     cx: &cx,
                     doc,
                     class,
                     frames,
                     times,
-                    since,
+                    received_at,
                 };
-                admit_and_run(t, call).await
+                admit_and_run(attempt, call).await
             }
-            None => End::Refused(Refusal::not_run(Reason::UnknownClass)),
+            None => AttemptResult::Refused(Refusal::not_run(Reason::UnknownClass)),
         },
-        Err(refusal) => End::Refused(refusal),
+        Err(refusal) => AttemptResult::Refused(refusal),
     };
-    let end = look_at_upstream(&agent, end, since + times.queue).await;
+    let result = check_upstream_exit(&agent, result, received_at + times.queue).await;
     // Noted before the last frame, so that who sees the answer finds the record.
-    note(&agent, &cx, end, times, since);
-    match end {
-        End::Answered(count) => frames.end(count).await,
-        End::Refused(refusal) => frames.refuse(refusal).await,
-        End::Broken => frames.broken().await,
-        End::UpstreamEnded(end) => frames.upstream_ended(end).await,
-        End::Gone => {}
+    record_result(&agent, &cx, result, times, received_at);
+    match result {
+        AttemptResult::Answered(count) => frames.end(count).await,
+        AttemptResult::Refused(refusal) => frames.refuse(refusal).await,
+        AttemptResult::Broken => frames.broken().await,
+        AttemptResult::UpstreamEnded(exit_id) => frames.upstream_ended(exit_id).await,
+        AttemptResult::EntryGone => {}
     }
 }
 
 /// Tells an answer that its upstream broke off from one whose upstream has ended: what a
 /// request does to those that run it decides whether another is asked.
-async fn look_at_upstream(agent: &Agent, end: End, sent_at: Instant) -> End {
-    let is_broken = match end {
-        End::Broken => true,
-        End::Refused(r) => r.outcome == Outcome::Unknown && r.reason == Reason::UpstreamBroken,
-        End::Answered(_) | End::UpstreamEnded(_) | End::Gone => false,
+async fn check_upstream_exit(
+    agent: &Agent,
+    result: AttemptResult,
+    sent_at: Instant,
+) -> AttemptResult {
+    let is_broken = match result {
+        AttemptResult::Broken => true,
+        AttemptResult::Refused(r) => {
+            r.outcome == Outcome::Unknown && r.reason == Reason::UpstreamBroken
+        }
+        AttemptResult::Answered(_) | AttemptResult::UpstreamEnded(_) | AttemptResult::EntryGone => {
+            false
+        }
     };
     if !is_broken {
-        return end;
+        return result;
     }
-    tokio::time::sleep(ALL_CLOSED).await;
+    tokio::time::sleep(EXIT_CHECK_DELAY).await;
     if agent.plain.is_reachable().await {
-        return end;
+        return result;
     }
-    End::UpstreamEnded(agent.ends.ended(&agent.node.id, sent_at))
+    AttemptResult::UpstreamEnded(agent.exits.record_exit(&agent.node.id, sent_at))
 }
 
 /// Checks that this agent may serve the request, and by which document.
-async fn check(agent: &Agent, cx: &RequestContext) -> Result<InForce, Refusal> {
+async fn check_request(agent: &Agent, cx: &RequestContext) -> Result<InForce, Refusal> {
     if cx.service != agent.service {
         return Err(Refusal::not_run(Reason::UnknownService));
     }
     let documents = &agent.node.documents;
     documents.heard(&cx.service, cx.doc_version);
     // A document that an entry goes by is in force here too, or nothing runs.
-    if !documents.reach(&cx.service, cx.doc_version, DOC_WAIT).await {
+    if !documents
+        .reach(&cx.service, cx.doc_version, MAX_DOC_WAIT)
+        .await
+    {
         return Err(Refusal::not_run(Reason::NotReady));
     }
     // After a pause of this process its host may have left meanwhile.
-    agent.node.leaving.looked_since_pause(LIST_WAIT).await;
+    agent
+        .node
+        .leaving
+        .looked_since_pause(MAX_HOST_LIST_WAIT)
+        .await;
     match agent.state() {
         AgentState::Ready => agent.doc().ok_or(Refusal::not_run(Reason::NotReady)),
         AgentState::Starting => Err(Refusal::not_run(Reason::NotReady)),
@@ -101,90 +116,104 @@
     }
 }
 
-async fn admit_and_run(mut t: Try<'_>, call: Call) -> End {
-    let gone = t.frames.watcher();
-    let ticket = tokio::select! {
+async fn admit_and_run(mut attempt: Attempt<'_>, call: Call) -> AttemptResult {
+    let entry_gone = attempt.frames.watcher();
+    let slot = tokio::select! {
         // First: a request whose entry has given it up must not begin, as after
         // a pause of this process.
         biased;
-        () = gone.closed() => return End::Gone,
-        ticket = admit(&t, &call) => ticket,
+        () = entry_gone.closed() => return AttemptResult::EntryGone,
+        slot = admit(&attempt, &call) => slot,
     };
-    let ticket = match ticket {
-        Ok(ticket) => ticket,
-        Err(refusal) => return End::Refused(refusal),
+    let slot = match slot {
+        Ok(slot) => slot,
+        Err(refusal) => return AttemptResult::Refused(refusal),
     };
-    t.times.queue = t.since.elapsed();
-    let queue_ms = t.times.queue.as_millis() as u64;
-    if t.frames.send(Part::Started { queue_ms }).await.is_err() {
-        return End::Gone;
+    attempt.times.queue = attempt.received_at.elapsed();
+    let queue_ms = attempt.times.queue.as_millis() as u64;
+    if attempt
+        .frames
+        .send(Part::Started { queue_ms })
+        .await
+        .is_err()
+    {
+        return AttemptResult::EntryGone;
     }
-    let node = &t.agent.node;
-    let is_idempotent = t.class.idempotent;
-    let end = tokio::select! {
+    let node = &attempt.agent.node;
+    let is_idempotent = attempt.class.idempotent;
+    let result = tokio::select! {
         // First: what has come is passed on, also at the end.
         biased;
-        end = run(&mut t, &call) => end,
+        result = run(&mut attempt, &call) => result,
         // A non-idempotent call that has begun goes on without its caller: its
         // answer is kept for a repeat of the key.
-        () = gone.closed(), if is_idempotent => End::Gone,
-        () = node.ended() => End::Refused(Refusal::unknown(Reason::ProcessEnds)),
+        () = entry_gone.closed(), if is_idempotent => AttemptResult::EntryGone,
+        () = node.ended() => AttemptResult::Refused(Refusal::unknown(Reason::ProcessEnds)),
     };
-    drop(ticket);
-    end
+    drop(slot);
+    result
 }
 
-async fn admit(t: &Try<'_>, call: &Call) -> Result<Ticket, Refusal> {
-    let cached = match call {
-        Call::Completion(c) => t
+async fn admit(attempt: &Attempt<'_>, call: &Call) -> Result<SlotGuard, Refusal> {
+    let cached_bytes = match call {
+        Call::Completion(c) => attempt
             .agent
             .prefixes
-            .cached(&prefix::hashes(c.prompt.as_bytes())),
+            .cached_len(&prefix::hashes(c.prompt.as_bytes())),
         Call::Plain(_) => 0,
     };
-    let ask = Ask {
-        class: t.class,
-        tenant: &t.cx.tenant,
-        limits: t.doc.doc.tenants,
-        cost: t.agent.rates.cost(t.class, call, cached),
-        deadline: t.since + Duration::from_millis(t.cx.deadline_ms),
-        end: t.cx.ends_ms.map(|ms| t.since + Duration::from_millis(ms)),
+    let slot_request = SlotRequest {
+        class: attempt.class,
+        tenant: &attempt.cx.tenant,
+        limits: attempt.doc.doc.tenants,
+        cost: attempt.agent.rates.cost(attempt.class, call, cached_bytes),
+        deadline: attempt.received_at + Duration::from_millis(attempt.cx.deadline_ms),
+        must_end_by: attempt
+            .cx
+            .ends_ms
+            .map(|ms| attempt.received_at + Duration::from_millis(ms)),
     };
-    t.agent.admission.admit(ask).await
+    attempt.agent.admission.admit(slot_request).await
 }
 
-async fn run(t: &mut Try<'_>, call: &Call) -> End {
-    match (call, &t.doc.doc.kind) {
+async fn run(attempt: &mut Attempt<'_>, call: &Call) -> AttemptResult {
+    match (call, &attempt.doc.doc.kind) {
         (Call::Completion(c), conf::Kind::Engine(model)) => {
             let model = model.name.clone();
-            complete(t, c, &model).await
+            complete(attempt, c, &model).await
         }
-        (Call::Plain(p), conf::Kind::Plain) => call_plain(t, p).await,
-        _ => End::Refused(Refusal::not_run(Reason::BadRequest)),
+        (Call::Plain(p), conf::Kind::Plain) => call_plain(attempt, p).await,
+        _ => AttemptResult::Refused(Refusal::not_run(Reason::BadRequest)),
     }
 }
 
-fn note(agent: &Agent, cx: &RequestContext, end: End, times: Times, since: Instant) {
-    let total = since.elapsed();
-    let (outcome, reason, count) = match end {
-        End::Answered(count) => (Outcome::Answered, None, count),
-        End::Refused(r) => (r.outcome, Some(r.reason), 0),
-        End::Broken => (Outcome::Unknown, Some(Reason::UpstreamBroken), 0),
-        End::UpstreamEnded(_) => (Outcome::Unknown, Some(Reason::UpstreamEnded), 0),
-        End::Gone => (Outcome::Unknown, Some(Reason::CallerGone), 0),
+fn record_result(
+    agent: &Agent,
+    cx: &RequestContext,
+    result: AttemptResult,
+    times: AttemptTimes,
+    received_at: Instant,
+) {
+    let total = received_at.elapsed();
+    let (outcome, reason, count) = match result {
+        AttemptResult::Answered(count) => (Outcome::Answered, None, count),
+        AttemptResult::Refused(r) => (r.outcome, Some(r.reason), 0),
+        AttemptResult::Broken => (Outcome::Unknown, Some(Reason::UpstreamBroken), 0),
+        AttemptResult::UpstreamEnded(_) => (Outcome::Unknown, Some(Reason::UpstreamEnded), 0),
+        AttemptResult::EntryGone => (Outcome::Unknown, Some(Reason::CallerGone), 0),
     };
-    let who = Labels {
+    let labels = Labels {
         service: &cx.service,
         class: &cx.class,
         tenant: &cx.tenant,
     };
     let metrics = &agent.node.metrics;
     let reason_text = reason.map(|r| r.to_string()).unwrap_or_default();
-    metrics.count(who, &outcome.to_string(), &reason_text);
-    metrics.time(who, Seconds::Queue, times.queue.as_secs_f64());
-    metrics.time(who, Seconds::Total, total.as_secs_f64());
-    if let Some(first) = times.first {
-        metrics.time(who, Seconds::First, first.as_secs_f64());
+    metrics.count(labels, &outcome.to_string(), &reason_text);
+    metrics.time(labels, Seconds::Queue, times.queue.as_secs_f64());
+    metrics.time(labels, Seconds::Total, total.as_secs_f64());
+    if let Some(first) = times.first_byte {
+        metrics.time(labels, Seconds::First, first.as_secs_f64());
     }
     agent.node.recorder.record(Record {
         request: cx.request,
@@ -197,7 +226,7 @@
         upstream: Some(agent.upstream.clone()),
         attempts: cx.attempt,
         queue_ms: times.queue.as_millis() as u64,
-        first_ms: times.first.map(|d| d.as_millis() as u64),
+        first_ms: times.first_byte.map(|d| d.as_millis() as u64),
         total_ms: total.as_millis() as u64,
         deadline_ms: cx.deadline_ms,
         count,
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -2,8 +2,8 @@
 
 use crate::admission::Admission;
 use crate::claims::Claims;
-use crate::ends::UpstreamEnds;
-use crate::prefixes::Prefixes;
+use crate::exits::UpstreamExits;
+use crate::prefixes::CachedPrefixes;
 use crate::rates::Rates;
 use conf::settings::UpstreamSettings;
 use conf::{Doc, Upstream};
@@ -16,7 +16,7 @@
 use wire::{AgentState, AgentStatus, Model, Reason, Role};
 
 /// How long after an agent began to stop an admitted call may still begin.
-const BEGIN_BOUND: Duration = Duration::from_secs(1);
+const MAX_START_DELAY: Duration = Duration::from_secs(1);
 
 /// An agent.
 #[derive(Debug)]
@@ -38,10 +38,10 @@
     /// Learned rates.
     pub rates: Rates,
     /// Prefixes that the engine has cached.
-    pub prefixes: Prefixes,
+    pub prefixes: CachedPrefixes,
     /// Ends of the upstream.
-    pub ends: UpstreamEnds,
-    left: OnceLock<Instant>,
+    pub exits: UpstreamExits,
+    stopping_since: OnceLock<Instant>,
     upstream_state: Mutex<UpstreamState>,
 }
 
@@ -76,9 +76,9 @@
             admission: Admission::new(),
             claims,
             rates: Rates::default(),
-            prefixes: Prefixes::default(),
-            ends: UpstreamEnds::default(),
-            left: OnceLock::new(),
+            prefixes: CachedPrefixes::default(),
+            exits: UpstreamExits::default(),
+            stopping_since: OnceLock::new(),
             upstream_state: Mutex::new(state),
             service,
             node,
@@ -91,27 +91,29 @@
     }
 
     /// This agent's upstream in a document.
-    pub fn me<'a>(&self, doc: &'a Doc) -> Option<&'a Upstream> {
+    pub fn upstream_in<'a>(&self, doc: &'a Doc) -> Option<&'a Upstream> {
         Some(doc.upstream(doc.upstream_named(&self.upstream)?))
     }
 
     /// Takes nothing new from now on, for good.
-    pub fn leave(&self) {
+    pub fn begin_stop(&self) {
         // A second call changes nothing: it left when it first did.
-        let _ = self.left.set(Instant::now());
+        let _ = self.stopping_since.set(Instant::now());
         self.admission.close(Reason::Leaving);
     }
 
     /// Whether this process is stopping.
-    pub fn is_leaving(&self) -> bool {
-        self.left.get().is_some()
+    pub fn is_stopping(&self) -> bool {
+        self.stopping_since.get().is_some()
     }
 
     /// Whether a call that was admitted before this process began to stop may
     /// still begin at the upstream. It may not once the upstream has been
     /// leaving for a while, however long its claim took.
-    pub fn may_begin(&self) -> bool {
-        self.left.get().is_none_or(|at| at.elapsed() < BEGIN_BOUND)
+    pub fn may_start_call(&self) -> bool {
+        self.stopping_since
+            .get()
+            .is_none_or(|at| at.elapsed() < MAX_START_DELAY)
     }
 
     /// The upstream as last seen.
@@ -123,7 +125,7 @@
     }
 
     /// Notes how the upstream stands, and opens or closes admission with it.
-    pub fn set_upstream(&self, state: UpstreamState) {
+    pub fn set_upstream_state(&self, state: UpstreamState) {
         let usable = state.usable;
         *self.upstream_state.lock().expect("no panic while locked") = state;
         if usable {
@@ -132,17 +134,19 @@
             self.admission.close(Reason::NotReady);
         }
         // Looked at last: `leave` may have come between, and must win.
-        if self.is_leaving() {
+        if self.is_stopping() {
             self.admission.close(Reason::Leaving);
         }
     }
 
     /// Whether it takes work.
     pub fn state(&self) -> AgentState {
-        if self.is_leaving() || self.node.leaving.contains(&self.node.settings.host) {
+        if self.is_stopping() || self.node.leaving.contains(&self.node.settings.host) {
             return AgentState::Leaving;
         }
-        let in_doc = self.doc().is_some_and(|d| self.me(&d.doc).is_some());
+        let in_doc = self
+            .doc()
+            .is_some_and(|d| self.upstream_in(&d.doc).is_some());
         let usable = self
             .upstream_state
             .lock()
--- a/crates/agent/tests/admission.rs
+++ b/crates/agent/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: order, limits, refusal, and that no slot is ever lost.
 
-use agent::admission::{Admission, Ask, ClassUse, Pick, TenantUse, Waiter, pick};
+use agent::admission::{Admission, ClassUsage, PickInput, SlotRequest, TenantUsage, Waiter, pick};
 use agent::rates::Cost;
 use conf::{Class, TenantLimits};
 use proptest::prelude::*;
@@ -27,36 +27,36 @@
 };
 const SOON: Duration = Duration::from_secs(60);
 
-fn ask<'a>(class: &'a Class, tenant: &'a str, cost: Cost) -> Ask<'a> {
-    Ask {
+fn slot_request<'a>(class: &'a Class, tenant: &'a str, cost: Cost) -> SlotRequest<'a> {
+    SlotRequest {
         class,
         tenant,
         limits: LIMITS,
         cost,
         deadline: Instant::now() + SOON,
-        end: None,
+        must_end_by: None,
     }
 }
 
 fn cost(ms: f64) -> Cost {
     Cost {
-        first_ms: ms,
+        first_byte_ms: ms,
         total_ms: ms,
     }
 }
 
-async fn settle(a: &Arc<Admission>, waiting: u32) {
+async fn wait_for_queue(a: &Arc<Admission>, waiting: u32) {
     while a.counts().0 != waiting {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
-async fn the_most_urgent_goes_first_and_slots_are_bounded() {
+async fn the_most_urgent_request_runs_first_within_the_slots() {
     let a = Admission::new();
     a.set_slots(1);
     let (urgent, calm) = (class("urgent", 0, 10), class("calm", 5, 10));
-    let first = a.admit(ask(&calm, "t", cost(1.0))).await.unwrap();
+    let first = a.admit(slot_request(&calm, "t", cost(1.0))).await.unwrap();
     let (tx, mut order) = tokio::sync::mpsc::unbounded_channel();
     for (i, c) in [calm.clone(), urgent.clone(), calm, urgent]
         .into_iter()
@@ -64,11 +64,11 @@
     {
         let (waiting, a, tx) = (a.clone(), a.clone(), tx.clone());
         tokio::spawn(async move {
-            let ticket = a.admit(ask(&c, "t", cost(1.0))).await.unwrap();
+            let slot = a.admit(slot_request(&c, "t", cost(1.0))).await.unwrap();
             tx.send(c.name.clone()).unwrap();
-            drop(ticket);
+            drop(slot);
         });
-        settle(&waiting, i as u32 + 1).await;
+        wait_for_queue(&waiting, i as u32 + 1).await;
     }
     assert_eq!(a.counts(), (4, 1));
     drop((first, tx));
@@ -81,18 +81,18 @@
 }
 
 #[tokio::test]
-async fn a_full_queue_and_a_full_tenant_are_refused_at_once() {
+async fn requests_over_a_class_or_tenant_limit_are_refused_immediately() {
     let a = Admission::new();
     a.set_slots(0);
     let c = class("c", 0, 2);
     let waiting: Vec<_> = (0..2)
         .map(|_| {
             let (a, c) = (a.clone(), c.clone());
-            tokio::spawn(async move { a.admit(ask(&c, "t", cost(1.0))).await.map(drop) })
+            tokio::spawn(async move { a.admit(slot_request(&c, "t", cost(1.0))).await.map(drop) })
         })
         .collect();
-    settle(&a, 2).await;
-    let refusal = a.admit(ask(&c, "t", cost(1.0))).await.unwrap_err();
+    wait_for_queue(&a, 2).await;
+    let refusal = a.admit(slot_request(&c, "t", cost(1.0))).await.unwrap_err();
     assert_eq!(refusal.reason, Reason::QueueFull);
     assert!(refusal.retry_ms.is_some());
     let none = TenantLimits {
@@ -100,9 +100,9 @@
         running: 0,
     };
     let wide = class("wide", 0, 10);
-    let full = Ask {
+    let full = SlotRequest {
         limits: none,
-        ..ask(&wide, "t", cost(1.0))
+        ..slot_request(&wide, "t", cost(1.0))
     };
     assert_eq!(a.admit(full).await.unwrap_err().reason, Reason::TenantLimit);
     a.close(Reason::Leaving);
@@ -112,24 +112,27 @@
         assert!(refusal.retry_ms.is_some());
     }
     assert_eq!(
-        a.admit(ask(&c, "t", cost(1.0))).await.unwrap_err().reason,
+        a.admit(slot_request(&c, "t", cost(1.0)))
+            .await
+            .unwrap_err()
+            .reason,
         Reason::Leaving
     );
 }
 
 #[tokio::test]
-async fn what_cannot_begin_in_time_is_refused_at_once_but_one_may_always_try() {
+async fn a_request_that_cannot_meet_its_deadline_is_refused_unless_nothing_runs() {
     let a = Admission::new();
     a.set_slots(1);
     let c = class("c", 0, 10);
-    let hopeless = || Ask {
+    let hopeless = || SlotRequest {
         deadline: Instant::now() + Duration::from_secs(1),
-        ..ask(&c, "t", cost(9e6))
+        ..slot_request(&c, "t", cost(9e6))
     };
-    let ticket = a.admit(hopeless()).await.unwrap();
+    let slot = a.admit(hopeless()).await.unwrap();
     let refusal = a.admit(hopeless()).await.unwrap_err();
     assert_eq!(refusal.reason, Reason::DeadlineUnreachable);
-    drop(ticket);
+    drop(slot);
     assert!(a.admit(hopeless()).await.is_ok());
 }
 
@@ -138,9 +141,9 @@
     let a = Admission::new();
     a.set_slots(1);
     let c = class("c", 0, 10);
-    let ends_soon = |cost| Ask {
-        end: Some(Instant::now() + Duration::from_secs(20)),
-        ..ask(&c, "t", cost)
+    let ends_soon = |cost| SlotRequest {
+        must_end_by: Some(Instant::now() + Duration::from_secs(20)),
+        ..slot_request(&c, "t", cost)
     };
     let long = a.admit(ends_soon(cost(9e6))).await.unwrap_err();
     assert_eq!(long.reason, Reason::Leaving);
@@ -148,49 +151,49 @@
     // Of unknown cost, with a deadline past the end; then with one before it.
     let unknown = a.admit(ends_soon(cost(0.0))).await.unwrap_err();
     assert_eq!(unknown.reason, Reason::Leaving);
-    let bounded = Ask {
+    let bounded = SlotRequest {
         deadline: Instant::now() + Duration::from_secs(10),
         ..ends_soon(cost(0.0))
     };
-    let ticket = a.admit(bounded).await.unwrap();
-    drop(ticket);
-    let ticket = a.admit(ends_soon(cost(10.0))).await.unwrap();
+    let slot = a.admit(bounded).await.unwrap();
+    drop(slot);
+    let slot = a.admit(ends_soon(cost(10.0))).await.unwrap();
     // What waits is looked at again as its turn comes.
     let waiter = {
         let (a, c) = (a.clone(), c.clone());
         tokio::spawn(async move {
-            let end = Some(Instant::now() + Duration::from_millis(200));
-            let ask = Ask {
-                end,
-                ..ask(&c, "t", cost(100.0))
+            let must_end_by = Some(Instant::now() + Duration::from_millis(200));
+            let slot_request = SlotRequest {
+                must_end_by,
+                ..slot_request(&c, "t", cost(100.0))
             };
-            a.admit(ask).await.map(drop)
+            a.admit(slot_request).await.map(drop)
         })
     };
-    settle(&a, 1).await;
+    wait_for_queue(&a, 1).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    drop(ticket);
+    drop(slot);
     let late = waiter.await.unwrap().unwrap_err();
     assert_eq!(late.reason, Reason::Leaving);
     assert_eq!(a.counts(), (0, 0));
 }
 
 #[tokio::test]
-async fn a_wait_that_is_dropped_or_times_out_leaves_no_trace() {
+async fn a_cancelled_or_timed_out_wait_frees_its_place() {
     let a = Admission::new();
     a.set_slots(1);
     let c = class("c", 0, 10);
-    let held = a.admit(ask(&c, "t", cost(0.0))).await.unwrap();
+    let held = a.admit(slot_request(&c, "t", cost(0.0))).await.unwrap();
     let waiter = {
         let (a, c) = (a.clone(), c.clone());
-        tokio::spawn(async move { a.admit(ask(&c, "t", cost(0.0))).await.map(drop) })
+        tokio::spawn(async move { a.admit(slot_request(&c, "t", cost(0.0))).await.map(drop) })
     };
-    settle(&a, 1).await;
+    wait_for_queue(&a, 1).await;
     waiter.abort();
-    settle(&a, 0).await;
-    let soon = Ask {
+    wait_for_queue(&a, 0).await;
+    let soon = SlotRequest {
         deadline: Instant::now() + Duration::from_millis(5),
-        ..ask(&c, "t", cost(0.0))
+        ..slot_request(&c, "t", cost(0.0))
     };
     assert_eq!(
         a.admit(soon).await.unwrap_err().reason,
@@ -202,7 +205,7 @@
 
 /// Waits that are dropped while their slot is on its way lose no slot.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn no_slot_is_lost_under_races() {
+async fn no_slot_is_lost_when_waits_are_cancelled_concurrently() {
     let a = Admission::new();
     a.set_slots(2);
     let mut tasks = Vec::new();
@@ -211,13 +214,13 @@
         tasks.push(tokio::spawn(async move {
             let c = class("c", (i % 3) as u32, 1000);
             let deadline = Instant::now() + Duration::from_micros(i * 37 % 3000);
-            let ask = Ask {
+            let slot_request = SlotRequest {
                 deadline,
-                ..ask(&c, "t", cost(0.0))
+                ..slot_request(&c, "t", cost(0.0))
             };
-            if let Ok(ticket) = a.admit(ask).await {
+            if let Ok(slot) = a.admit(slot_request).await {
                 tokio::task::yield_now().await;
-                drop(ticket);
+                drop(slot);
             }
         }));
     }
@@ -232,24 +235,24 @@
     }
     assert_eq!(a.counts(), (0, 0));
     let c = class("c", 0, 10);
-    let both = (
-        a.admit(ask(&c, "t", cost(0.0))).await,
-        a.admit(ask(&c, "t", cost(0.0))).await,
+    let two_slots = (
+        a.admit(slot_request(&c, "t", cost(0.0))).await,
+        a.admit(slot_request(&c, "t", cost(0.0))).await,
     );
-    assert!(both.0.is_ok() && both.1.is_ok());
+    assert!(two_slots.0.is_ok() && two_slots.1.is_ok());
 }
 
 /// The rule, written as plainly as can be: sort all, take the first.
-fn naive(p: &Pick<'_>) -> Option<u64> {
+fn pick_by_sorting(p: &PickInput<'_>) -> Option<u64> {
     let free = |w: &&Waiter| p.tenants[w.tenant].running < p.tenants[w.tenant].limit;
     let mut all: Vec<&Waiter> = p.waiters.iter().filter(free).collect();
     all.sort_by(|a, b| {
         let key = |w: &Waiter| {
             let c = &p.classes[w.class];
-            let room = ((c.share * f64::from(p.slots)).floor() as u32).max(1);
-            let overdue = p.now - w.since > w.starvation_bound && c.running < room;
-            let given = p.tenants[w.tenant].given;
-            let rest = (w.urgency, f64::from(c.running) / c.share, given);
+            let share_slots = ((c.share * f64::from(p.slots)).floor() as u32).max(1);
+            let overdue = p.now - w.queued_at > w.starvation_bound && c.running < share_slots;
+            let served_ms = p.tenants[w.tenant].served_ms;
+            let rest = (w.urgency, f64::from(c.running) / c.share, served_ms);
             (!overdue, if overdue { (0, 0.0, 0.0) } else { rest }, w.id)
         };
         key(a).partial_cmp(&key(b)).unwrap()
@@ -261,7 +264,7 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_choice_is_that_of_the_naive_rule(
+    fn pick_matches_an_implementation_by_sorting(
         waiters in prop::collection::vec((0usize..3, 0usize..4, 0u32..3, 0u64..100, 0u64..100), 0..12),
         classes in prop::collection::vec((1u32..100, 0u32..6), 3),
         tenants in prop::collection::vec((0u32..3, 0u32..4, 0u32..5), 4),
@@ -272,35 +275,35 @@
         let waiters: Vec<Waiter> = waiters
             .into_iter()
             .enumerate()
-            .map(|(id, (class, tenant, urgency, since, bound))| Waiter {
+            .map(|(id, (class, tenant, urgency, queued_at, bound))| Waiter {
                 id: id as u64,
                 class,
                 tenant,
                 urgency,
-                since: start + Duration::from_secs(since),
+                queued_at: start + Duration::from_secs(queued_at),
                 starvation_bound: Duration::from_secs(bound),
             })
             .collect();
-        let classes: Vec<ClassUse> = classes
+        let classes: Vec<ClassUsage> = classes
             .into_iter()
-            .map(|(share, running)| ClassUse {
+            .map(|(share, running)| ClassUsage {
                 name: String::new(),
                 share: f64::from(share) / 100.0,
                 waiting: 0,
                 running,
             })
             .collect();
-        let tenants: Vec<TenantUse> = tenants
+        let tenants: Vec<TenantUsage> = tenants
             .into_iter()
-            .map(|(running, limit, given)| TenantUse {
+            .map(|(running, limit, served_ms)| TenantUsage {
                 name: String::new(),
                 waiting: 0,
                 running,
                 limit,
-                given: f64::from(given),
+                served_ms: f64::from(served_ms),
             })
             .collect();
-        let p = Pick { waiters: &waiters, classes: &classes, tenants: &tenants, slots, now };
-        prop_assert_eq!(pick(&p).map(|at| waiters[at].id), naive(&p));
+        let p = PickInput { waiters: &waiters, classes: &classes, tenants: &tenants, slots, now };
+        prop_assert_eq!(pick(&p).map(|at| waiters[at].id), pick_by_sorting(&p));
     }
 }
--- a/crates/agent/tests/claims.rs
+++ b/crates/agent/tests/claims.rs
@@ -1,6 +1,6 @@
 //! Claims: exactly one runner for a key, whatever the table service does.
 
-use agent::claims::{Claimed, Claims};
+use agent::claims::{ClaimResult, Claims};
 use fakes::serve::Standin;
 use fakes::table::TableStandin;
 use fakes::{Faults, Running, start};
@@ -12,16 +12,16 @@
 use wire::RequestId;
 
 const TIMEOUT: Duration = Duration::from_millis(300);
-const BOUND: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const KEY: &str = "claim/s/t/key/k";
 
-struct Bed {
+struct Setup {
     table: Arc<TableStandin>,
     platform: HttpPlatform,
     _running: Running,
 }
 
-async fn bed() -> Bed {
+async fn setup() -> Setup {
     let table = Arc::<TableStandin>::default();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let running = start(any, table.clone()).await.unwrap();
@@ -32,7 +32,7 @@
         hosts: h,
         timeout: TIMEOUT,
     };
-    Bed {
+    Setup {
         table,
         platform: HttpPlatform::new(&platform),
         _running: running,
@@ -50,27 +50,27 @@
     }
 }
 
-async fn row(bed: &Bed, key: &str) -> Option<Claim> {
-    let rows = bed.platform.read(vec![key.to_owned()]).await.unwrap();
+async fn read_claim(setup: &Setup, key: &str) -> Option<Claim> {
+    let rows = setup.platform.read(vec![key.to_owned()]).await.unwrap();
     rows.first().and_then(|r| decode(&r.value))
 }
 
-async fn until_state(bed: &Bed, key: &str, want: impl Fn(&Option<Claim>) -> bool) {
+async fn wait_for_state(setup: &Setup, key: &str, is_expected: impl Fn(&Option<Claim>) -> bool) {
     let wait = async {
-        while !want(&row(bed, key).await) {
+        while !is_expected(&read_claim(setup, key).await) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(BOUND, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
         .expect("the row gets there");
 }
 
 #[tokio::test]
-async fn of_many_that_race_for_a_key_one_wins() {
-    let bed = bed().await;
+async fn one_of_many_concurrent_claims_of_a_key_wins() {
+    let setup = setup().await;
     let agents: Vec<_> = (0..4)
-        .map(|i| Claims::start(bed.platform.clone(), format!("a{i}")))
+        .map(|i| Claims::start(setup.platform.clone(), format!("a{i}")))
         .collect();
     let mut tasks = Vec::new();
     for n in 0..40u128 {
@@ -83,8 +83,8 @@
     let mut won = Vec::new();
     for t in tasks {
         match t.await.unwrap() {
-            Claimed::Won(held) => won.push(held.key),
-            Claimed::InUse => {}
+            ClaimResult::Won(held) => won.push(held.key),
+            ClaimResult::InUse => {}
             other => panic!("{other:?}"),
         }
     }
@@ -95,13 +95,13 @@
 }
 
 #[tokio::test]
-async fn a_kept_answer_is_given_to_a_repeat_through_any_agent() {
-    let bed = bed().await;
+async fn a_stored_answer_is_returned_to_a_repeat_through_any_agent() {
+    let setup = setup().await;
     let (a, b) = (
-        Claims::start(bed.platform.clone(), "a".into()),
-        Claims::start(bed.platform.clone(), "b".into()),
+        Claims::start(setup.platform.clone(), "a".into()),
+        Claims::start(setup.platform.clone(), "b".into()),
     );
-    let Claimed::Won(held) = a.claim(KEY.into(), claim(1, 1, "a"), true).await else {
+    let ClaimResult::Won(held) = a.claim(KEY.into(), claim(1, 1, "a"), true).await else {
         panic!()
     };
     let kept = KeptAnswer {
@@ -109,47 +109,50 @@
         content_type: None,
         body: "done".into(),
     };
-    a.close(held, ClaimState::Answered(kept.clone()));
-    a.settled(BOUND).await;
+    a.finish(held, ClaimState::Answered(kept.clone()));
+    a.flush(WAIT_TIMEOUT).await;
     assert_eq!(
         b.claim(KEY.into(), claim(2, 1, "b"), true).await,
-        Claimed::Kept(kept)
+        ClaimResult::Kept(kept)
     );
     let other = Claim {
         digest: 2,
         ..claim(3, 1, "b")
     };
-    assert_eq!(b.claim(KEY.into(), other, true).await, Claimed::OtherCall);
+    assert_eq!(
+        b.claim(KEY.into(), other, true).await,
+        ClaimResult::OtherCall
+    );
 }
 
 #[tokio::test]
-async fn a_write_whose_answer_is_lost_is_settled_by_reading_back() {
-    let bed = bed().await;
-    let a = Claims::start(bed.platform.clone(), "a".into());
-    bed.table.gate().set(Faults {
+async fn a_write_whose_answer_is_lost_is_resolved_by_reading_back() {
+    let setup = setup().await;
+    let a = Claims::start(setup.platform.clone(), "a".into());
+    setup.table.gate().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
     let got = a.claim(KEY.into(), claim(1, 1, "a"), true).await;
-    assert!(matches!(got, Claimed::Won(_)), "{got:?}");
+    assert!(matches!(got, ClaimResult::Won(_)), "{got:?}");
 }
 
 #[tokio::test]
-async fn while_the_table_is_down_nothing_is_claimed_and_the_key_stays_free() {
-    let bed = bed().await;
-    let a = Claims::start(bed.platform.clone(), "a".into());
-    bed.table.gate().set(Faults {
+async fn while_the_table_service_is_down_no_claim_is_made_and_the_key_stays_free() {
+    let setup = setup().await;
+    let a = Claims::start(setup.platform.clone(), "a".into());
+    setup.table.gate().set(Faults {
         down: true,
         ..Faults::default()
     });
     assert_eq!(
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
-        Claimed::Unavailable
+        ClaimResult::Unavailable
     );
-    bed.table.gate().set(Faults::default());
+    setup.table.gate().set(Faults::default());
     assert!(matches!(
         a.claim(KEY.into(), claim(2, 1, "a"), true).await,
-        Claimed::Won(_)
+        ClaimResult::Won(_)
     ));
 }
 
@@ -157,24 +160,24 @@
 /// claim is given up, and later released so that the key can be used again.
 #[tokio::test]
 async fn a_claim_that_was_given_up_is_released() {
-    let bed = bed().await;
-    let a = Claims::start(bed.platform.clone(), "a".into());
-    bed.table.gate().set(Faults {
+    let setup = setup().await;
+    let a = Claims::start(setup.platform.clone(), "a".into());
+    setup.table.gate().set(Faults {
         lose_answers: 100,
         ..Faults::default()
     });
     assert_eq!(
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
-        Claimed::Unavailable
+        ClaimResult::Unavailable
     );
-    bed.table.gate().set(Faults::default());
-    until_state(&bed, KEY, |c| {
+    setup.table.gate().set(Faults::default());
+    wait_for_state(&setup, KEY, |c| {
         c.as_ref().is_some_and(|c| c.state == ClaimState::Released)
     })
     .await;
     assert!(matches!(
         a.claim(KEY.into(), claim(2, 1, "a"), true).await,
-        Claimed::Won(_)
+        ClaimResult::Won(_)
     ));
 }
 
@@ -182,87 +185,87 @@
 /// shut it out, or has found it.
 #[tokio::test]
 async fn a_claim_written_after_it_was_given_up_never_blocks_the_key() {
-    let bed = bed().await;
-    let a = Claims::start(bed.platform.clone(), "a".into());
-    bed.table.gate().set(Faults {
+    let setup = setup().await;
+    let a = Claims::start(setup.platform.clone(), "a".into());
+    setup.table.gate().set(Faults {
         hang: true,
         ..Faults::default()
     });
     assert_eq!(
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
-        Claimed::Unavailable
+        ClaimResult::Unavailable
     );
-    bed.table.gate().set(Faults::default());
-    until_state(&bed, KEY, |c| {
+    setup.table.gate().set(Faults::default());
+    wait_for_state(&setup, KEY, |c| {
         c.as_ref().is_some_and(|c| c.state == ClaimState::Released)
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_later_try_takes_over_only_if_all_before_were_not_run() {
-    let bed = bed().await;
+async fn a_later_attempt_takes_over_only_if_no_earlier_one_has_run() {
+    let setup = setup().await;
     let (a, b) = (
-        Claims::start(bed.platform.clone(), "a".into()),
-        Claims::start(bed.platform.clone(), "b".into()),
+        Claims::start(setup.platform.clone(), "a".into()),
+        Claims::start(setup.platform.clone(), "b".into()),
     );
     assert!(matches!(
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
-        Claimed::Won(_)
+        ClaimResult::Won(_)
     ));
     assert_eq!(
         b.claim(KEY.into(), claim(1, 2, "b"), false).await,
-        Claimed::InUse
+        ClaimResult::InUse
     );
     assert!(matches!(
         b.claim(KEY.into(), claim(1, 2, "b"), true).await,
-        Claimed::Won(_)
+        ClaimResult::Won(_)
     ));
     assert_eq!(
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
-        Claimed::InUse
+        ClaimResult::InUse
     );
 }
 
 /// The same over a row that was released before: the lost write depends on that
 /// row's version, so the release must move it on.
 #[tokio::test]
-async fn a_given_up_claim_over_a_released_row_is_shut_out_too() {
-    let bed = bed().await;
-    let a = Claims::start(bed.platform.clone(), "a".into());
-    let Claimed::Won(held) = a.claim(KEY.into(), claim(1, 1, "a"), true).await else {
+async fn a_given_up_claim_over_a_released_row_never_blocks_the_key() {
+    let setup = setup().await;
+    let a = Claims::start(setup.platform.clone(), "a".into());
+    let ClaimResult::Won(held) = a.claim(KEY.into(), claim(1, 1, "a"), true).await else {
         panic!()
     };
-    a.close(held, ClaimState::Released);
-    a.settled(BOUND).await;
+    a.finish(held, ClaimState::Released);
+    a.flush(WAIT_TIMEOUT).await;
     // The first write is refused and shows the released row; the second, over
     // that row, hangs until it is given up.
     let probe = a.claim(KEY.into(), claim(2, 1, "a"), true);
     let (got, ()) = tokio::join!(probe, async {
-        while bed.table.history().refused == 0 {
+        while setup.table.history().refused == 0 {
             tokio::task::yield_now().await;
         }
-        bed.table.gate().set(Faults {
+        setup.table.gate().set(Faults {
             hang: true,
             ..Faults::default()
         });
     });
-    bed.table.gate().set(Faults::default());
-    if got == Claimed::Unavailable {
+    setup.table.gate().set(Faults::default());
+    if got == ClaimResult::Unavailable {
         let released = |c: &Option<Claim>| {
             let ours = |c: &Claim| c.request == RequestId(2) && c.state == ClaimState::Released;
             c.as_ref().is_some_and(ours)
         };
-        until_state(&bed, KEY, released).await;
+        wait_for_state(&setup, KEY, released).await;
     } else {
-        assert!(matches!(got, Claimed::Won(_)), "{got:?}");
+        assert!(matches!(got, ClaimResult::Won(_)), "{got:?}");
     }
 }
 
 #[tokio::test]
 async fn many_claims_share_few_transactions() {
-    let bed = bed().await;
-    let a = Claims::start(bed.platform.clone(), "a".into());
+    let setup = setup().await;
+    let a = Claims::start(setup.platform.clone(), "a".into());
     let tasks: Vec<_> = (0..100u128)
         .map(|n| {
             let a = a.clone();
@@ -273,38 +276,38 @@
         })
         .collect();
     for t in tasks {
-        assert!(matches!(t.await.unwrap(), Claimed::Won(_)));
+        assert!(matches!(t.await.unwrap(), ClaimResult::Won(_)));
     }
-    let commits = bed.table.history().commits;
+    let commits = setup.table.history().commits;
     assert!(commits <= 20, "{commits} transactions for 100 claims");
 }
 
 /// Ends share transactions, and one that was taken over meanwhile doesn't keep
 /// the others from being written.
 #[tokio::test]
-async fn ends_share_transactions_and_one_conflict_spoils_no_other() {
-    let bed = bed().await;
-    let a = Claims::start(bed.platform.clone(), "a".into());
+async fn final_states_share_transactions_and_a_conflict_affects_no_other_claim() {
+    let setup = setup().await;
+    let a = Claims::start(setup.platform.clone(), "a".into());
     let mut held = Vec::new();
     for n in 0..30u128 {
         let key = format!("claim/s/t/key/{n}");
-        let Claimed::Won(h) = a.claim(key, claim(n, 1, "a"), true).await else {
+        let ClaimResult::Won(h) = a.claim(key, claim(n, 1, "a"), true).await else {
             panic!()
         };
         held.push(h);
     }
     let taken = claim(0, 2, "b");
-    let b = Claims::start(bed.platform.clone(), "b".into());
+    let b = Claims::start(setup.platform.clone(), "b".into());
     let over = b.claim(held[0].key.clone(), taken.clone(), true).await;
-    assert!(matches!(over, Claimed::Won(_)));
-    let before = bed.table.history().commits;
+    assert!(matches!(over, ClaimResult::Won(_)));
+    let before = setup.table.history().commits;
     for h in held {
-        a.close(h, ClaimState::TooLargeToKeep);
+        a.finish(h, ClaimState::TooLargeToKeep);
     }
-    a.settled(BOUND).await;
-    let commits = bed.table.history().commits - before;
+    a.flush(WAIT_TIMEOUT).await;
+    let commits = setup.table.history().commits - before;
     assert!(commits <= 10, "{commits} transactions for 30 ends");
-    assert_eq!(row(&bed, "claim/s/t/key/0").await, Some(taken));
-    let last = row(&bed, "claim/s/t/key/29").await.unwrap();
+    assert_eq!(read_claim(&setup, "claim/s/t/key/0").await, Some(taken));
+    let last = read_claim(&setup, "claim/s/t/key/29").await.unwrap();
     assert_eq!(last.state, ClaimState::TooLargeToKeep);
 }
--- /dev/null
+++ b/crates/entry/src/accounting.rs
@@ -0,0 +1,96 @@
+//! The account of a request at its end: metrics, a log line, a record.
+
+use crate::state::Entry;
+use observe::log_line::now_ms;
+use observe::{Event, Labels, Seconds, emit};
+use records::{Record, Side};
+use std::time::{Duration, Instant};
+use wire::{Outcome, Reason, RequestId};
+
+/// A request at its end.
+#[derive(Debug, Clone)]
+pub struct EndedRequest<'a> {
+    /// The request's id.
+    pub id: RequestId,
+    /// The service.
+    pub service: &'a str,
+    /// The tenant.
+    pub tenant: &'a str,
+    /// The class.
+    pub class: &'a str,
+    /// What became of it.
+    pub outcome: Outcome,
+    /// Why, if it wasn't answered.
+    pub reason: Option<Reason>,
+    /// The upstream that was tried last.
+    pub upstream: Option<&'a str>,
+    /// Tries.
+    pub attempts: u32,
+    /// Time in agents' queues, in milliseconds.
+    pub queue_ms: u64,
+    /// Time to the first byte.
+    pub first_byte: Option<Duration>,
+    /// When it was received.
+    pub received_at: Instant,
+    /// Its deadline.
+    pub deadline: Duration,
+    /// Tokens that the caller has.
+    pub count: u64,
+}
+
+/// Writes a request's account.
+pub fn record(entry: &Entry, request: &EndedRequest<'_>) {
+    let total = request.received_at.elapsed();
+    update_metrics(entry, request, total);
+    emit(&Event::Request {
+        request: request.id.to_string(),
+        service: request.service,
+        tenant: request.tenant,
+        class: request.class,
+        outcome: request.outcome.to_string(),
+        reason: request.reason.map(|r| r.to_string()),
+        upstream: request.upstream,
+        attempts: request.attempts,
+        queue_ms: request.queue_ms,
+        first_ms: request.first_byte.map(millis),
+        total_ms: millis(total),
+        stopping_ms: entry.node.since_stop(request.received_at).map(millis),
+    });
+    entry.node.recorder.record(Record {
+        request: request.id,
+        side: Side::Entry,
+        service: request.service.to_owned(),
+        tenant: request.tenant.to_owned(),
+        class: request.class.to_owned(),
+        outcome: request.outcome,
+        reason: request.reason,
+        upstream: request.upstream.map(str::to_owned),
+        attempts: request.attempts,
+        queue_ms: request.queue_ms,
+        first_ms: request.first_byte.map(millis),
+        total_ms: millis(total),
+        deadline_ms: millis(request.deadline),
+        count: request.count,
+        ended_ms: now_ms(),
+    });
+}
+
+fn update_metrics(entry: &Entry, request: &EndedRequest<'_>, total: Duration) {
+    let labels = Labels {
+        service: request.service,
+        class: request.class,
+        tenant: request.tenant,
+    };
+    let metrics = &entry.node.metrics;
+    let reason = request.reason.map(|r| r.to_string()).unwrap_or_default();
+    metrics.count(labels, &request.outcome.to_string(), &reason);
+    metrics.time(labels, Seconds::Total, total.as_secs_f64());
+    metrics.time(labels, Seconds::Queue, request.queue_ms as f64 / 1000.0);
+    if let Some(first_byte) = request.first_byte {
+        metrics.time(labels, Seconds::First, first_byte.as_secs_f64());
+    }
+}
+
+fn millis(d: Duration) -> u64 {
+    d.as_millis() as u64
+}
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -30,13 +30,13 @@
     }
 
     /// Reads the next frame's part; none if the answer breaks off or isn't ours.
-    pub async fn read(&mut self) -> Option<Part> {
+    pub async fn next_part(&mut self) -> Option<Part> {
         loop {
             match self.reader.pop() {
-                Ok(Some(frame)) => return self.accept(frame),
+                Ok(Some(frame)) => return self.check_frame(frame),
                 Ok(None) => {}
                 Err(e) => {
-                    self.tell(e.to_string());
+                    self.log_bad_answer(e.to_string());
                     return None;
                 }
             }
@@ -47,18 +47,18 @@
         }
     }
 
-    fn accept(&mut self, frame: Frame) -> Option<Part> {
-        let claimed = frame.request;
+    fn check_frame(&mut self, frame: Frame) -> Option<Part> {
+        let frame_request = frame.request;
         match self.check.take(frame) {
             Ok(part) => Some(part),
             Err(e) => {
-                self.tell(format!("{e}: it says {claimed}"));
+                self.log_bad_answer(format!("{e}: it says {frame_request}"));
                 None
             }
         }
     }
 
-    fn tell(&self, why: String) {
+    fn log_bad_answer(&self, why: String) {
         emit(&Event::BadAnswer {
             request: self.request.to_string(),
             upstream: &self.upstream,
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -5,7 +5,7 @@
 //! availability zones first. Each is asked how long the answer's first byte
 //! would take; the soonest wins.
 
-use crate::docs::even_out;
+use crate::docs::sync_document;
 use crate::state::Entry;
 use conf::{Doc, UpstreamId};
 use hyper::Method;
@@ -17,29 +17,29 @@
 use wire::{AgentState, PATH_PROBE, Probe, ProbeAnswer, prefix};
 
 /// Candidates that have affinity for the prompt's beginning.
-const BY_AFFINITY: usize = 1;
+const AFFINITY_CANDIDATES: usize = 1;
 /// Prompts with at most so many prefixes (under 2 KiB) have affinity for none.
-const SHORT_PREFIXES: usize = 3;
+const SHORT_PROMPT_PREFIXES: usize = 3;
 /// Candidates sampled at random.
-const SAMPLED: usize = 2;
+const RANDOM_CANDIDATES: usize = 2;
 /// Upstreams of a service that an entry samples from.
-const SUBSET: usize = 16;
+const SUBSET_SIZE: usize = 16;
 /// Candidates of the second round, if none of the first takes work.
-const SECOND_ROUND: usize = 8;
+const SECOND_ROUND_CANDIDATES: usize = 8;
 /// What another availability zone costs, in milliseconds. Zones are about a
 /// millisecond apart one way.
-const ZONE_MS: u64 = 3;
+const OTHER_ZONE_COST_MS: u64 = 3;
 /// How long the others are waited for once a candidate that takes work has answered.
-const GRACE: Duration = Duration::from_millis(4);
+const PROBE_GRACE: Duration = Duration::from_millis(4);
 /// What a full upstream costs over an idle one, in milliseconds: requests that
 /// run side by side slow each other even while there are free slots.
-const FULL_MS: u64 = 20;
+const FULL_LOAD_COST_MS: u64 = 20;
 /// Largest answer to a probe.
-const MAX_ANSWER: usize = 4096;
+const MAX_PROBE_ANSWER: usize = 4096;
 
 /// An upstream that was chosen.
 #[derive(Debug, Clone)]
-pub struct Chosen {
+pub struct ChosenUpstream {
     /// The upstream's name.
     pub name: String,
     /// The connection for requests to its agent.
@@ -53,23 +53,23 @@
     doc: &Doc,
     probe: &Probe,
     tried: &[String],
-) -> Option<Chosen> {
-    let mut left: Vec<UpstreamId> = doc.upstream_ids().collect();
+) -> Option<ChosenUpstream> {
+    let mut remaining: Vec<UpstreamId> = doc.upstream_ids().collect();
     let leaving = &entry.node.leaving;
-    left.retain(|id| {
+    remaining.retain(|id| {
         let u = doc.upstream(*id);
         !tried.contains(&u.name) && !leaving.contains(&u.host)
     });
     // A short prompt is read as fast anywhere, and needs no affinity.
-    let has_affinity = probe.prefixes.len() > SHORT_PREFIXES;
+    let has_affinity = probe.prefixes.len() > SHORT_PROMPT_PREFIXES;
     let key = probe.prefixes.first().copied().filter(|_| has_affinity);
-    let first = candidates(entry, doc, &mut left, key);
-    if let Some(chosen) = ask(entry, doc, probe, first).await {
+    let first = take_candidates(entry, doc, &mut remaining, key);
+    if let Some(chosen) = probe_all(entry, doc, probe, first).await {
         return Some(chosen);
     }
-    fastrand::shuffle(&mut left);
-    left.truncate(SECOND_ROUND);
-    ask(entry, doc, probe, left).await
+    fastrand::shuffle(&mut remaining);
+    remaining.truncate(SECOND_ROUND_CANDIDATES);
+    probe_all(entry, doc, probe, remaining).await
 }
 
 /// Takes the candidates of the first round out of `left`.
@@ -77,102 +77,113 @@
 /// The one by affinity may be any upstream: all entries must agree on it. The sampled
 /// ones come from this entry's subset, so that at any size an entry keeps few
 /// connections warm and no mesh grows between all entries and all agents.
-fn candidates(
+fn take_candidates(
     entry: &Entry,
     doc: &Doc,
-    left: &mut Vec<UpstreamId>,
+    remaining: &mut Vec<UpstreamId>,
     key: Option<u64>,
 ) -> Vec<UpstreamId> {
     let mut out = Vec::new();
     if let Some(key) = key {
-        left.sort_unstable_by_key(|id| prefix::rank(key, &doc.upstream(*id).name));
-        out.extend(left.split_off(left.len().saturating_sub(BY_AFFINITY)));
+        remaining.sort_unstable_by_key(|id| prefix::rank(key, &doc.upstream(*id).name));
+        out.extend(remaining.split_off(remaining.len().saturating_sub(AFFINITY_CANDIDATES)));
     }
-    let own = &entry.node.settings;
-    let seed = prefix::rank(0, &own.name);
-    left.sort_unstable_by_key(|id| {
+    let settings = &entry.node.settings;
+    let seed = prefix::rank(0, &settings.name);
+    remaining.sort_unstable_by_key(|id| {
         let u = doc.upstream(*id);
-        (u.zone == own.zone, prefix::rank(seed, &u.name))
+        (u.zone == settings.zone, prefix::rank(seed, &u.name))
     });
     // Nearer zones stand last. One of the sampled may be from anywhere in the
     // subset, so that a busy zone isn't a trap.
-    let near = left
+    let near = remaining
         .iter()
-        .filter(|id| doc.upstream(**id).zone == own.zone)
+        .filter(|id| doc.upstream(**id).zone == settings.zone)
         .count();
-    for sampled in 0..SAMPLED.min(left.len()) {
+    for sampled in 0..RANDOM_CANDIDATES.min(remaining.len()) {
         let from = if sampled == 0 {
-            near.clamp(1, SUBSET / 2)
+            near.clamp(1, SUBSET_SIZE / 2)
         } else {
-            SUBSET
+            SUBSET_SIZE
         };
-        let first = left.len().saturating_sub(from);
-        out.push(left.remove(fastrand::usize(first..left.len())));
+        let first = remaining.len().saturating_sub(from);
+        out.push(remaining.remove(fastrand::usize(first..remaining.len())));
     }
     out
 }
 
 /// Answer of one candidate.
-struct Asked {
+struct ProbeResult {
     id: UpstreamId,
     answer: ProbeAnswer,
 }
 
-async fn ask(entry: &Arc<Entry>, doc: &Doc, probe: &Probe, ids: Vec<UpstreamId>) -> Option<Chosen> {
+async fn probe_all(
+    entry: &Arc<Entry>,
+    doc: &Doc,
+    probe: &Probe,
+    ids: Vec<UpstreamId>,
+) -> Option<ChosenUpstream> {
     let now = Instant::now();
     let body = wire::encode_compact(probe);
     let (tx, mut rx) = mpsc::channel(ids.len().max(1));
     for id in ids {
         let addr = doc.upstream(id).agent;
         if !entry.health.is_suspended(addr, now) {
-            tokio::spawn(ask_one(entry.clone(), id, addr, body.clone(), tx.clone()));
+            tokio::spawn(probe_one(entry.clone(), id, addr, body.clone(), tx.clone()));
         }
     }
     drop(tx);
-    let mut best: Option<(u64, Asked)> = None;
+    let mut best: Option<(u64, ProbeResult)> = None;
     let mut until = now + entry.node.settings.limits.probe_timeout;
     // Ends when all have answered or failed, or the time is up.
-    while let Ok(Some(asked)) = tokio::time::timeout_at(until.into(), rx.recv()).await {
+    while let Ok(Some(result)) = tokio::time::timeout_at(until.into(), rx.recv()).await {
         entry
             .node
             .documents
-            .heard(&probe.service, asked.answer.doc_version);
-        if asked.answer.state != AgentState::Ready {
+            .heard(&probe.service, result.answer.doc_version);
+        if result.answer.state != AgentState::Ready {
             continue;
         }
         // The others get a little longer: a slow one must not hold back a request.
-        until = until.min(Instant::now() + GRACE);
-        let far = doc.upstream(asked.id).zone != entry.node.settings.zone;
-        let score = asked.answer.wait_ms
-            + u64::from(far) * ZONE_MS
-            + u64::from(asked.answer.load) * FULL_MS / 1000;
+        until = until.min(Instant::now() + PROBE_GRACE);
+        let is_other_zone = doc.upstream(result.id).zone != entry.node.settings.zone;
+        let score = result.answer.wait_ms
+            + u64::from(is_other_zone) * OTHER_ZONE_COST_MS
+            + u64::from(result.answer.load) * FULL_LOAD_COST_MS / 1000;
         if best.as_ref().is_none_or(|(s, _)| score < *s) {
-            best = Some((score, asked));
+            best = Some((score, result));
         }
     }
-    let (_, Asked { id, answer }) = best?;
+    let (_, ProbeResult { id, answer }) = best?;
     let u = doc.upstream(id);
-    let link = entry.peers.get(u.agent);
-    even_out(entry, &link.control, &probe.service, answer.doc_version).await;
-    Some(Chosen {
+    let connections = entry.peers.get(u.agent);
+    sync_document(
+        entry,
+        &connections.control,
+        &probe.service,
+        answer.doc_version,
+    )
+    .await;
+    Some(ChosenUpstream {
         name: u.name.clone(),
-        peer: link.data,
+        peer: connections.data,
     })
 }
 
 /// Asks one agent, to the end even if the choice is made before, so that a
 /// failing agent is noticed.
-async fn ask_one(
+async fn probe_one(
     entry: Arc<Entry>,
     id: UpstreamId,
     addr: SocketAddr,
     body: Vec<u8>,
-    tx: mpsc::Sender<Asked>,
+    tx: mpsc::Sender<ProbeResult>,
 ) {
     let timeout = entry.node.settings.limits.probe_timeout;
     let peer = entry.peers.get(addr).control;
     let call = peer
-        .call(Method::POST, PATH_PROBE, body, MAX_ANSWER, timeout)
+        .call(Method::POST, PATH_PROBE, body, MAX_PROBE_ANSWER, timeout)
         .await;
     match call
         .ok()
@@ -181,7 +192,7 @@
         Some(answer) => {
             entry.health.succeeded(addr);
             // The choice may have been made already.
-            let _ = tx.send(Asked { id, answer }).await;
+            let _ = tx.send(ProbeResult { id, answer }).await;
         }
         None => entry.health.failed(addr, Instant::now()),
     }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -12,15 +12,15 @@
 use wire::{Completion, Part, RequestId};
 
 /// Tokens if the caller doesn't say.
-const DEFAULT_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 /// Most tokens that a caller may ask for.
 const MAX_TOKENS: u32 = 32_768;
 /// Chunks that a caller may be behind before the engine waits for it.
-const CALLER_SLACK: usize = 64;
+const MAX_BUFFERED_CHUNKS: usize = 64;
 
 /// Which form of the API a request uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum Endpoint {
     /// `/v1/completions`.
     Text,
     /// `/v1/chat/completions`.
@@ -29,7 +29,7 @@
 
 /// A parsed request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Parsed {
+pub struct ParsedRequest {
     /// What to run.
     pub completion: Completion,
     /// Whether the answer is streamed.
@@ -85,24 +85,24 @@
 }
 
 /// Reads a request's body; none if it isn't of the API or asks for what we don't do.
-pub fn parse(form: Form, body: &[u8]) -> Option<Parsed> {
-    let (prompt, options) = match form {
-        Form::Text => {
+pub fn parse(endpoint: Endpoint, body: &[u8]) -> Option<ParsedRequest> {
+    let (prompt, options) = match endpoint {
+        Endpoint::Text => {
             let b: TextBody = serde_json::from_slice(body).ok()?;
             let prompt = match b.prompt {
                 Prompt::One(text) | Prompt::List([text]) => text,
             };
             (prompt, b.options)
         }
-        Form::Chat => {
+        Endpoint::Chat => {
             let b: ChatBody = serde_json::from_slice(body).ok()?;
-            (join(&b.messages)?, b.options)
+            (join_messages(&b.messages)?, b.options)
         }
     };
     let max_tokens = options.max_completion_tokens.or(options.max_tokens);
-    let max_tokens = max_tokens.unwrap_or(DEFAULT_TOKENS);
+    let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     let fits = (1..=MAX_TOKENS).contains(&max_tokens) && options.n.unwrap_or(1) == 1;
-    fits.then_some(Parsed {
+    fits.then_some(ParsedRequest {
         completion: Completion {
             prompt,
             max_tokens,
@@ -113,7 +113,7 @@
 }
 
 /// Joins chat turns into a prompt.
-fn join(messages: &[Message]) -> Option<String> {
+fn join_messages(messages: &[Message]) -> Option<String> {
     let mut out = String::new();
     for m in messages {
         out.push_str(&m.role);
@@ -162,24 +162,24 @@
 
 const ROLE: &str = "assistant";
 
-fn choice<'a>(form: Form, streamed: bool, text: &'a str, end: bool) -> Choice<'a> {
-    let finish_reason = end.then_some("stop");
+fn choice<'a>(endpoint: Endpoint, streamed: bool, text: &'a str, is_last: bool) -> Choice<'a> {
+    let finish_reason = is_last.then_some("stop");
     let turn = Turn {
         role: ROLE,
         content: text,
     };
-    match (form, streamed) {
-        (Form::Text, _) => Choice {
+    match (endpoint, streamed) {
+        (Endpoint::Text, _) => Choice {
             text: Some(text),
             finish_reason,
             ..Choice::default()
         },
-        (Form::Chat, true) => Choice {
+        (Endpoint::Chat, true) => Choice {
             delta: Some(turn),
             finish_reason,
             ..Choice::default()
         },
-        (Form::Chat, false) => Choice {
+        (Endpoint::Chat, false) => Choice {
             message: Some(turn),
             finish_reason,
             ..Choice::default()
@@ -188,28 +188,28 @@
 }
 
 /// How answers of one request look.
-struct Style {
-    form: Form,
+struct ResponseFormat {
+    endpoint: Endpoint,
     id: String,
     model: String,
 }
 
-impl Style {
-    fn new(form: Form, session: &Session) -> Self {
+impl ResponseFormat {
+    fn new(endpoint: Endpoint, session: &Session) -> Self {
         let id = format!("cmpl-{}", session.id());
         Self {
-            form,
+            endpoint,
             id,
             model: session.service().to_owned(),
         }
     }
 
     fn chunk(&self, text: &str, end: Option<u64>) -> Bytes {
-        let object = match self.form {
-            Form::Text => "text_completion",
-            Form::Chat => "chat.completion.chunk",
+        let object = match self.endpoint {
+            Endpoint::Text => "text_completion",
+            Endpoint::Chat => "chat.completion.chunk",
         };
-        let choices = [choice(self.form, true, text, end.is_some())];
+        let choices = [choice(self.endpoint, true, text, end.is_some())];
         let usage = end.map(|completion_tokens| Usage { completion_tokens });
         let answer = Answer {
             id: &self.id,
@@ -224,12 +224,12 @@
         Bytes::from(out)
     }
 
-    fn whole(&self, text: &str, completion_tokens: u64) -> Vec<u8> {
-        let object = match self.form {
-            Form::Text => "text_completion",
-            Form::Chat => "chat.completion",
+    fn full_body(&self, text: &str, completion_tokens: u64) -> Vec<u8> {
+        let object = match self.endpoint {
+            Endpoint::Text => "text_completion",
+            Endpoint::Chat => "chat.completion",
         };
-        let choices = [choice(self.form, false, text, true)];
+        let choices = [choice(self.endpoint, false, text, true)];
         let usage = Some(Usage { completion_tokens });
         let answer = Answer {
             id: &self.id,
@@ -243,34 +243,34 @@
 }
 
 /// Serves a completion whose answer is given in one piece.
-pub async fn serve_whole(form: Form, mut session: Session) -> Response<Body> {
-    let (id, style) = (session.id(), Style::new(form, &session));
+pub async fn serve_full(endpoint: Endpoint, mut session: Session) -> Response<Body> {
+    let (id, format) = (session.id(), ResponseFormat::new(endpoint, &session));
     let mut text = String::new();
     loop {
         match session.next().await {
             Ok(Part::Token(t)) => text.push_str(&t),
             Ok(Part::End { count }) => {
-                let body = full(style.whole(&text, count));
-                return typed(body, "application/json", id);
+                let body = full(format.full_body(&text, count));
+                return response_of_type(body, "application/json", id);
             }
             // Agents send nothing else for a completion; the check of frames saw to it.
             Ok(_) => {}
-            Err(r) => return refusal::answer(id, &r),
+            Err(r) => return refusal::response(id, &r),
         }
     }
 }
 
 /// Serves a completion as a stream. The status waits for the first token, so
 /// that a refusal has a status of its own.
-pub async fn serve_stream(form: Form, mut session: Session) -> Response<Body> {
-    let (id, style) = (session.id(), Style::new(form, &session));
+pub async fn serve_stream(endpoint: Endpoint, mut session: Session) -> Response<Body> {
+    let (id, format) = (session.id(), ResponseFormat::new(endpoint, &session));
     let first = match session.next().await {
         Ok(part) => part,
-        Err(r) => return refusal::answer(id, &r),
+        Err(r) => return refusal::response(id, &r),
     };
-    let (tx, body) = stream(CALLER_SLACK);
-    tokio::spawn(pass_on(style, session, first, tx));
-    let mut res = typed(body, "text/event-stream", id);
+    let (tx, body) = stream(MAX_BUFFERED_CHUNKS);
+    tokio::spawn(forward_parts(format, session, first, tx));
+    let mut res = response_of_type(body, "text/event-stream", id);
     res.headers_mut()
         .insert(CACHE_CONTROL, HeaderValue::from_static("no-cache"));
     res
@@ -278,24 +278,24 @@
 
 /// Passes tokens on until the end. A caller that hangs up drops the session,
 /// which cancels upstream.
-async fn pass_on(style: Style, mut session: Session, first: Part, tx: BodySender) {
-    let gone = tx.watcher();
+async fn forward_parts(format: ResponseFormat, mut session: Session, first: Part, tx: BodySender) {
+    let caller_gone = tx.watcher();
     let mut next = Ok(first);
     loop {
         let sent = match next {
             // A caller that takes nothing for that long would hold an engine's slot.
             Ok(Part::Token(text)) => {
-                let send = tx.send(style.chunk(&text, None));
+                let send = tx.send(format.chunk(&text, None));
                 tokio::select! {
                     biased;
-                    sent = tokio::time::timeout(session.patience(), send) => {
+                    sent = tokio::time::timeout(session.send_timeout(), send) => {
                         sent.unwrap_or(Err(Gone))
                     }
-                    () = session.process_ends() => Err(Gone),
+                    () = session.process_ended() => Err(Gone),
                 }
             }
             Ok(Part::End { count }) => {
-                let mut last = style.chunk("", Some(count)).to_vec();
+                let mut last = format.chunk("", Some(count)).to_vec();
                 last.extend_from_slice(b"data: [DONE]\n\n");
                 // A caller that went away at the very end misses nothing.
                 let _ = tx.send(Bytes::from(last)).await;
@@ -316,12 +316,12 @@
         }
         next = tokio::select! {
             next = session.next() => next,
-            () = gone.closed() => return,
+            () = caller_gone.closed() => return,
         };
     }
 }
 
-fn typed(body: Body, kind: &'static str, id: RequestId) -> Response<Body> {
+fn response_of_type(body: Body, kind: &'static str, id: RequestId) -> Response<Body> {
     let mut res = Response::new(body);
     res.headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -18,12 +18,12 @@
 
 /// Time between two reads of the rows: all entries know of a third end within the 3 s that
 /// they are given, for one read a second and entry.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 /// Rows that one read takes, and that one write has at most.
-const MAX_ROWS: u32 = 512;
-const MAX_AT_ONCE: usize = 32;
+const MAX_ROWS_PER_READ: u32 = 512;
+const MAX_ROWS_PER_WRITE: usize = 32;
 /// Ends from which on an entry writes them: the rows are all that others hear.
-const RECORD_FROM: usize = 1;
+const MIN_ENDS_TO_RECORD: usize = 1;
 
 /// Work under which upstreams end.
 #[derive(Debug)]
@@ -32,18 +32,18 @@
     /// The entry's name, in rows.
     entry: String,
     known: Mutex<resilience::Crashes>,
-    to_write: Notify,
+    write_needed: Notify,
 }
 
 /// How work may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum SendDecision {
     /// As any other.
-    Usual,
+    Allow,
     /// Once, as this trial.
     Trial(usize),
     /// Not at all.
-    Held(Proof),
+    HoldBack(Proof),
 }
 
 /// Hashes what a request asks for and who asks. Where its answer goes on is none of it.
@@ -56,7 +56,7 @@
 }
 
 /// Tells the end of the agent of an upstream from other ends.
-pub fn agent_end(upstream: &str) -> u32 {
+pub fn agent_end_id(upstream: &str) -> u32 {
     Fingerprint::of([&b"agent"[..], upstream.as_bytes()]).0 as u32
 }
 
@@ -67,7 +67,7 @@
             platform,
             entry,
             known: Mutex::default(),
-            to_write: Notify::new(),
+            write_needed: Notify::new(),
         }
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Notes that an upstream ended under work, and whether that was a trial.
-    pub fn ended(&self, work: Fingerprint, end: u32, in_trial: bool) {
+    pub fn record_end(&self, work: Fingerprint, end: u32, in_trial: bool) {
         let at = Instant::now();
         let word = Word::End {
             work,
@@ -89,25 +89,25 @@
             at,
             in_trial,
         };
-        self.take(word, Source::Own);
+        self.apply_report(word, Source::Own);
     }
 
     /// Notes that work has had its whole answer.
-    pub fn answered(&self, work: Fingerprint) {
+    pub fn record_answer(&self, work: Fingerprint) {
         let at = Instant::now();
-        self.take(Word::Answer { work, at }, Source::Own);
+        self.apply_report(Word::Answer { work, at }, Source::Own);
     }
 
-    fn take(&self, word: Word, source: Source) {
+    fn apply_report(&self, word: Word, source: Source) {
         let change = self.lock().take(word, source, false, Instant::now());
-        tell(word.work(), change);
+        log_change(word.work(), change);
         if change != Change::Same && source == Source::Own {
-            self.to_write.notify_one();
+            self.write_needed.notify_one();
         }
     }
 
     /// Whether and how work may be sent to an upstream now.
-    pub async fn admit(&self, work: Fingerprint) -> Admission {
+    pub async fn decide(&self, work: Fingerprint) -> SendDecision {
         let now = Instant::now();
         let verdict = {
             let mut known = self.lock();
@@ -118,11 +118,11 @@
             verdict
         };
         match verdict {
-            Verdict::Free | Verdict::Suspect => Admission::Usual,
-            Verdict::Held(proof) => Admission::Held(proof),
+            Verdict::Free | Verdict::Suspect => SendDecision::Allow,
+            Verdict::Held(proof) => SendDecision::HoldBack(proof),
             Verdict::Trial(number, proof) => match self.take_trial(work, number).await {
-                true => Admission::Trial(number),
-                false => Admission::Held(proof),
+                true => SendDecision::Trial(number),
+                false => SendDecision::HoldBack(proof),
             },
         }
     }
@@ -135,7 +135,7 @@
             let mut txn = Txn::new();
             txn.puts.push(Put { key, value: None });
             if let Err(e) = platform.commit(&txn).await {
-                not_written(&txn, &e);
+                log_write_error(&txn, &e);
             }
         });
     }
@@ -165,11 +165,11 @@
     async fn write_trial(&self, work: Fingerprint, number: usize) -> Result<(), WriteError> {
         let key = trial_key(work.0, number);
         let txn = Txn::new().check(key.clone(), 0);
-        let txn = txn.put(key, self.row(now_ms(), false));
+        let txn = txn.put(key, self.encode_row(now_ms(), false));
         self.platform.commit(&txn).await.map(|_| ())
     }
 
-    fn row(&self, at_ms: u64, in_trial: bool) -> String {
+    fn encode_row(&self, at_ms: u64, in_trial: bool) -> String {
         encode(&Crash {
             entry: self.entry.clone(),
             at_ms,
@@ -179,14 +179,14 @@
 
     /// Writes what this entry saw and reads what all saw, until the process ends. An outage
     /// isn't an error: what is known stays, and what is due is written later.
-    pub async fn share(&self) {
+    pub async fn sync(&self) {
         loop {
             self.write().await;
             self.read().await;
             self.lock().expire(Instant::now());
             tokio::select! {
-                () = self.to_write.notified() => {}
-                () = tokio::time::sleep(around(LOOK_EVERY)) => {}
+                () = self.write_needed.notified() => {}
+                () = tokio::time::sleep(around(SYNC_INTERVAL)) => {}
             }
         }
     }
@@ -194,8 +194,8 @@
     async fn write(&self) {
         let (due, answered) = {
             let known = self.lock();
-            let due = known.to_record(RECORD_FROM, None, MAX_AT_ONCE);
-            (due, known.to_remove(None, MAX_AT_ONCE))
+            let due = known.to_record(MIN_ENDS_TO_RECORD, None, MAX_ROWS_PER_WRITE);
+            (due, known.to_remove(None, MAX_ROWS_PER_WRITE))
         };
         if due.is_empty() && answered.is_empty() {
             return;
@@ -203,14 +203,14 @@
         let mut txn = Txn::new();
         for record in &due {
             let ago = record.at.elapsed().as_millis() as u64;
-            let row = self.row(now_ms().saturating_sub(ago), record.in_trial);
+            let row = self.encode_row(now_ms().saturating_sub(ago), record.in_trial);
             txn = txn.put(crash_key(record.work.0, record.upstream), row);
         }
         for record in &answered {
-            txn.puts.extend(removals(record));
+            txn.puts.extend(removal_puts(record));
         }
         if let Err(e) = self.platform.commit(&txn).await {
-            not_written(&txn, &e);
+            log_write_error(&txn, &e);
             return;
         }
         let mut known = self.lock();
@@ -224,38 +224,38 @@
     async fn read(&self) {
         let scanned = self
             .platform
-            .scan(CRASH_PREFIX.into(), String::new(), MAX_ROWS);
+            .scan(CRASH_PREFIX.into(), String::new(), MAX_ROWS_PER_READ);
         let Ok(rows) = scanned.await else {
             return;
         };
         let recorded = self.lock().recorded();
-        let is_there = |record: &&Record| {
+        let is_stored = |record: &&Record| {
             let key = crash_key(record.work.0, record.upstream);
             rows.iter().any(|row| row.key == key)
         };
-        for gone in recorded.iter().filter(|record| !is_there(record)) {
+        for gone in recorded.iter().filter(|record| !is_stored(record)) {
             let change = self.lock().forget(gone.work, gone.upstream);
-            tell(gone.work, change);
+            log_change(gone.work, change);
         }
-        let old: Vec<String> = rows.iter().filter_map(|row| self.learn(row)).collect();
-        self.remove(old).await;
+        let old: Vec<String> = rows.iter().filter_map(|row| self.apply_row(row)).collect();
+        self.remove_rows(old).await;
     }
 
     /// Removes rows that are too old.
-    async fn remove(&self, keys: Vec<String>) {
+    async fn remove_rows(&self, keys: Vec<String>) {
         if keys.is_empty() {
             return;
         }
         let mut txn = Txn::new();
-        let keys = keys.into_iter().take(MAX_AT_ONCE);
+        let keys = keys.into_iter().take(MAX_ROWS_PER_WRITE);
         txn.puts.extend(keys.map(|key| Put { key, value: None }));
         if let Err(e) = self.platform.commit(&txn).await {
-            not_written(&txn, &e);
+            log_write_error(&txn, &e);
         }
     }
 
     /// Takes what a row tells; gives its key if it is too old.
-    fn learn(&self, row: &Row) -> Option<String> {
+    fn apply_row(&self, row: &Row) -> Option<String> {
         let (Some(key), Some(crash)) = (CrashKey::parse(&row.key), decode::<Crash>(&row.value))
         else {
             emit(&Event::Undecodable {
@@ -278,7 +278,7 @@
                     at,
                     in_trial: crash.in_trial,
                 };
-                self.take(word, Source::Store);
+                self.apply_report(word, Source::Store);
             }
             CrashKey::Trial { work, number } => {
                 self.lock().trial_taken(Fingerprint(work), number, at);
@@ -288,7 +288,7 @@
     }
 }
 
-fn not_written(txn: &Txn, e: &WriteError) {
+fn log_write_error(txn: &Txn, e: &WriteError) {
     emit(&Event::CrashRowsNotWritten {
         rows: txn.puts.len(),
         why: e.to_string(),
@@ -296,13 +296,13 @@
 }
 
 /// Removes the row of an end, and those of the work's trials.
-fn removals(record: &Record) -> Vec<Put> {
+fn removal_puts(record: &Record) -> Vec<Put> {
     let trials = (0..TRIALS).map(|number| trial_key(record.work.0, number));
     let keys = std::iter::once(crash_key(record.work.0, record.upstream)).chain(trials);
     keys.map(|key| Put { key, value: None }).collect()
 }
 
-fn tell(work: Fingerprint, change: Change) {
+fn log_change(work: Fingerprint, change: Change) {
     let work = work.to_string();
     let source = "entries";
     match change {
--- a/crates/entry/src/docs.rs
+++ b/crates/entry/src/docs.rs
@@ -9,16 +9,16 @@
 use wire::{DocText, PATH_DOC};
 
 /// Largest document message.
-const MAX_DOC: usize = conf::yaml::MAX_FILE + 4096;
+const MAX_DOC_MESSAGE: usize = conf::yaml::MAX_FILE + 4096;
 
 /// Evens out versions with an agent that has `theirs`.
-pub async fn even_out(entry: &Entry, peer: &Peer, service: &str, theirs: u64) {
+pub async fn sync_document(entry: &Entry, peer: &Peer, service: &str, agent_version: u64) {
     let documents = &entry.node.documents;
-    let ours = documents.version(service);
-    if theirs > ours {
-        documents.heard(service, theirs);
+    let own_version = documents.version(service);
+    if agent_version > own_version {
+        documents.heard(service, agent_version);
         fetch(entry, peer, service).await;
-    } else if theirs < ours {
+    } else if agent_version < own_version {
         push(entry, peer, service).await;
     }
 }
@@ -26,7 +26,7 @@
 async fn fetch(entry: &Entry, peer: &Peer, service: &str) {
     let timeout = entry.node.settings.limits.probe_timeout;
     let got = peer
-        .call(Method::GET, PATH_DOC, Vec::new(), MAX_DOC, timeout)
+        .call(Method::GET, PATH_DOC, Vec::new(), MAX_DOC_MESSAGE, timeout)
         .await;
     // Without it the next look at the table service brings the document.
     let Ok((status, body)) = got else { return };
@@ -56,7 +56,7 @@
             Method::POST,
             PATH_DOC,
             wire::encode(&text),
-            MAX_DOC,
+            MAX_DOC_MESSAGE,
             timeout,
         )
         .await;
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -10,7 +10,7 @@
 
 /// Weight of a failure: one is enough, since a probe of a dead agent takes its
 /// whole timeout and another agent is always asked beside it.
-const LOST_WEIGHT: f64 = 1.0;
+const FAILURE_WEIGHT: f64 = 1.0;
 
 /// Agents that failed, sorted by address.
 #[derive(Debug, Default)]
@@ -49,12 +49,12 @@
             }
         };
         // Its probes in flight fail with it; the first has suspended it.
-        let _ = failed[at].1.failed(LOST_WEIGHT, now);
+        let _ = failed[at].1.failed(FAILURE_WEIGHT, now);
     }
 
     /// Forgets agents that no document names any more.
-    pub fn keep_only(&self, named: &[SocketAddr]) {
+    pub fn keep_only(&self, listed: &[SocketAddr]) {
         self.lock()
-            .retain(|(addr, _)| named.binary_search(addr).is_ok());
+            .retain(|(addr, _)| listed.binary_search(addr).is_ok());
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -4,7 +4,7 @@
 //! of choice, sends the request to the best, and goes on to another only after
 //! a refusal that says "not run", or for an idempotent request.
 
-mod account;
+mod accounting;
 mod api;
 mod attempt;
 mod choose;
@@ -47,9 +47,9 @@
     let health = entry.clone();
     node.serve_admin(move || health.is_ready())?;
     tokio::spawn(node.clone().stop_when_leaving());
-    tokio::spawn(forget_unnamed(entry.clone()));
-    let sharing = entry.clone();
-    tokio::spawn(async move { sharing.crashes.share().await });
+    tokio::spawn(remove_unlisted_agents(entry.clone()));
+    let syncing = entry.clone();
+    tokio::spawn(async move { syncing.crashes.sync().await });
     let idle = entry.clone();
     tokio::spawn(async move { idle.peers.close_idle().await });
     let duties = start_duties(&node, &leases, &stop);
@@ -112,7 +112,7 @@
 }
 
 /// Forgets agents that no document names any more, at each change of a document.
-async fn forget_unnamed(entry: Arc<Entry>) {
+async fn remove_unlisted_agents(entry: Arc<Entry>) {
     let documents = &entry.node.documents;
     let mut changed = documents.watch();
     // The sender lives in `documents`, so this goes on until the process ends.
@@ -121,11 +121,11 @@
             .services()
             .into_iter()
             .filter_map(|s| documents.get(&s));
-        let mut named: Vec<_> = docs
+        let mut listed: Vec<_> = docs
             .flat_map(|d| d.doc.upstreams.iter().map(|u| u.agent).collect::<Vec<_>>())
             .collect();
-        named.sort_unstable();
-        entry.peers.keep_only(&named);
-        entry.health.keep_only(&named);
+        listed.sort_unstable();
+        entry.peers.keep_only(&listed);
+        entry.health.keep_only(&listed);
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -9,28 +9,28 @@
 use std::time::{Duration, Instant};
 
 /// How long the connections to an agent are kept without use.
-const KEEP_IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between looks for connections without use.
-const IDLE_LOOK: Duration = Duration::from_secs(10);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The connections to one agent.
 #[derive(Debug, Clone)]
-pub struct Link {
+pub struct AgentConnections {
     /// For probes and documents.
     pub control: Peer,
     /// For requests.
     pub data: Peer,
-    used: Arc<Mutex<Instant>>,
+    last_used: Arc<Mutex<Instant>>,
 }
 
-impl Link {
+impl AgentConnections {
     fn touch(&self) {
-        *self.used.lock().expect("no panic while locked") = Instant::now();
+        *self.last_used.lock().expect("no panic while locked") = Instant::now();
     }
 
     fn idle_for(&self, now: Instant) -> Duration {
-        let used = *self.used.lock().expect("no panic while locked");
-        now.saturating_duration_since(used)
+        let last_used = *self.last_used.lock().expect("no panic while locked");
+        now.saturating_duration_since(last_used)
     }
 
     fn addr(&self) -> SocketAddr {
@@ -43,7 +43,7 @@
 pub struct Peers {
     timeout: Duration,
     meter: Meter,
-    links: RwLock<Vec<Link>>,
+    connections: RwLock<Vec<AgentConnections>>,
 }
 
 impl Peers {
@@ -52,30 +52,30 @@
         Self {
             timeout,
             meter,
-            links: RwLock::default(),
+            connections: RwLock::default(),
         }
     }
 
     /// The connections to the agent at an address.
-    pub fn get(&self, addr: SocketAddr) -> Link {
+    pub fn get(&self, addr: SocketAddr) -> AgentConnections {
         {
-            let links = self.links.read().expect("no panic while locked");
-            if let Ok(at) = links.binary_search_by_key(&addr, Link::addr) {
-                links[at].touch();
-                return links[at].clone();
+            let connections = self.connections.read().expect("no panic while locked");
+            if let Ok(at) = connections.binary_search_by_key(&addr, AgentConnections::addr) {
+                connections[at].touch();
+                return connections[at].clone();
             }
         }
-        let mut links = self.links.write().expect("no panic while locked");
-        match links.binary_search_by_key(&addr, Link::addr) {
-            Ok(at) => links[at].clone(),
+        let mut connections = self.connections.write().expect("no panic while locked");
+        match connections.binary_search_by_key(&addr, AgentConnections::addr) {
+            Ok(at) => connections[at].clone(),
             Err(at) => {
-                let link = Link {
+                let new_connections = AgentConnections {
                     control: Peer::new(addr, self.timeout).metered(&self.meter),
                     data: Peer::new(addr, self.timeout),
-                    used: Arc::new(Mutex::new(Instant::now())),
+                    last_used: Arc::new(Mutex::new(Instant::now())),
                 };
-                links.insert(at, link.clone());
-                link
+                connections.insert(at, new_connections.clone());
+                new_connections
             }
         }
     }
@@ -84,16 +84,16 @@
     /// one keeps it open to its end.
     pub async fn close_idle(&self) {
         loop {
-            tokio::time::sleep(IDLE_LOOK).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
             let now = Instant::now();
-            let mut links = self.links.write().expect("no panic while locked");
-            links.retain(|l| l.idle_for(now) < KEEP_IDLE);
+            let mut connections = self.connections.write().expect("no panic while locked");
+            connections.retain(|l| l.idle_for(now) < IDLE_TIMEOUT);
         }
     }
 
     /// Closes connections to agents that no document names any more.
-    pub fn keep_only(&self, named: &[SocketAddr]) {
-        let mut links = self.links.write().expect("no panic while locked");
-        links.retain(|l| named.binary_search(&l.addr()).is_ok());
+    pub fn keep_only(&self, listed: &[SocketAddr]) {
+        let mut connections = self.connections.write().expect("no panic while locked");
+        connections.retain(|l| listed.binary_search(&l.addr()).is_ok());
     }
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -9,7 +9,7 @@
 use wire::{Part, Reason, Refusal};
 
 /// Says that an answer is the one kept from an earlier request with the same key.
-const KEPT: &str = "idempotent-replayed";
+const REPLAYED_HEADER: &str = "idempotent-replayed";
 
 /// Serves a plain call. The whole answer is read before its first byte goes
 /// out, so that a try that breaks off can be made again.
@@ -25,7 +25,7 @@
                 kept,
             }) => {
                 body.clear();
-                res = head(status, content_type, kept);
+                res = response_head(status, content_type, kept);
             }
             Ok(Part::Body(piece)) => body.extend_from_slice(&piece),
             Ok(Part::End { .. }) => {
@@ -33,21 +33,21 @@
                 set_request_id(&mut res, id);
                 return res;
             }
-            Ok(_) => return refusal::answer(id, &Refusal::unknown(Reason::UpstreamBroken)),
-            Err(r) => return refusal::answer(id, &r),
+            Ok(_) => return refusal::response(id, &Refusal::unknown(Reason::UpstreamBroken)),
+            Err(r) => return refusal::response(id, &r),
         }
     }
 }
 
-fn head(status: u16, content_type: Option<String>, kept: bool) -> Response<()> {
+fn response_head(status: u16, content_type: Option<String>, kept: bool) -> Response<()> {
     let mut res = Response::new(());
     *res.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    if let Some(kind) = content_type.and_then(|k| HeaderValue::try_from(k).ok()) {
-        res.headers_mut().insert(CONTENT_TYPE, kind);
+    if let Some(content_type) = content_type.and_then(|k| HeaderValue::try_from(k).ok()) {
+        res.headers_mut().insert(CONTENT_TYPE, content_type);
     }
     if kept {
         res.headers_mut()
-            .insert(KEPT, HeaderValue::from_static("true"));
+            .insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
     }
     res
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -34,7 +34,7 @@
     let error = ErrorDetail {
         outcome: refusal.outcome,
         reason: refusal.reason,
-        message: words(refusal.reason),
+        message: message(refusal.reason),
         request_id: id.to_string(),
         retry_after_ms: refusal.retry_ms,
     };
@@ -42,7 +42,7 @@
 }
 
 /// The answer to a refused request.
-pub fn answer(id: RequestId, refusal: &Refusal) -> Response<Body> {
+pub fn response(id: RequestId, refusal: &Refusal) -> Response<Body> {
     let mut res = Response::new(full(json(id, refusal)));
     *res.status_mut() = status(refusal);
     let headers = res.headers_mut();
@@ -75,7 +75,7 @@
     }
 }
 
-fn words(reason: Reason) -> &'static str {
+fn message(reason: Reason) -> &'static str {
     match reason {
         Reason::BadRequest => "the request is malformed",
         Reason::TooLarge => "the request is over the size limit",
@@ -102,7 +102,7 @@
 }
 
 /// Whether another upstream may help. What the caller did wrong is wrong there too.
-pub fn may_go_elsewhere(reason: Reason) -> bool {
+pub fn may_retry_elsewhere(reason: Reason) -> bool {
     match reason {
         Reason::QueueFull
         | Reason::TenantLimit
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -6,10 +6,10 @@
 use wire::RequestId;
 
 /// Header with the request's id.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Puts a request's id into its answer.
 pub fn set_request_id(res: &mut Response<Body>, id: RequestId) {
     let value = HeaderValue::try_from(id.to_string()).expect("hex digits are valid in a header");
-    res.headers_mut().insert(REQUEST_ID, value);
+    res.headers_mut().insert(REQUEST_ID_HEADER, value);
 }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,10 +1,10 @@
 //! A request on its way: tries, retries, resumes, and its account.
 
-use crate::account::{self, Ended};
+use crate::accounting::{self, EndedRequest};
 use crate::attempt::Attempt;
-use crate::choose::{Chosen, choose};
-use crate::crashes::{self, Admission};
-use crate::refusal::may_go_elsewhere;
+use crate::choose::{ChosenUpstream, choose};
+use crate::crashes::{self, SendDecision};
+use crate::refusal::may_retry_elsewhere;
 use crate::state::Entry;
 use conf::Class;
 use hyper::Method;
@@ -20,7 +20,7 @@
 };
 
 /// What an agent may take longer than was agreed before it counts as lost.
-const SLACK: Duration = Duration::from_secs(1);
+const AGENT_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// When a caller may come back if no upstream takes work, in milliseconds.
 const NO_UPSTREAM_RETRY_MS: u64 = 1000;
 
@@ -45,26 +45,26 @@
 pub struct Session {
     entry: Arc<Entry>,
     req: RoutedRequest,
-    since: Instant,
+    received_at: Instant,
     current: Option<Attempt>,
     /// Upstreams that aren't tried again.
     tried: Vec<String>,
     attempts: u32,
     /// Tries that ended with their agent's process, by no fault of the request.
-    cuts: u32,
+    interrupted_attempts: u32,
     /// The upstream that was tried last.
     upstream: Option<String>,
     /// Whether every try so far came back as not run.
     none_has_run: bool,
     /// The last refusal of an agent, to be passed on if no other serves.
-    refusal: Option<Refusal>,
+    last_refusal: Option<Refusal>,
     /// The trial that it is, of work that is held back.
     trial: Option<usize>,
     /// Tokens that the caller has.
     delivered: u64,
     queue_ms: u64,
-    first: Option<Duration>,
-    is_closed: bool,
+    first_byte: Option<Duration>,
+    is_recorded: bool,
     _running: RunningGuard,
 }
 
@@ -84,26 +84,26 @@
     pub fn new(
         entry: Arc<Entry>,
         req: RoutedRequest,
-        since: Instant,
+        received_at: Instant,
         running: RunningGuard,
     ) -> Self {
         entry.earn_retry();
         Self {
             entry,
             req,
-            since,
+            received_at,
             current: None,
             tried: Vec::new(),
             attempts: 0,
-            cuts: 0,
+            interrupted_attempts: 0,
             upstream: None,
             none_has_run: true,
-            refusal: None,
+            last_refusal: None,
             trial: None,
             delivered: 0,
             queue_ms: 0,
-            first: None,
-            is_closed: false,
+            first_byte: None,
+            is_recorded: false,
             _running: running,
         }
     }
@@ -114,7 +114,7 @@
     }
 
     /// Longest that a caller may leave a piece of its answer untaken.
-    pub fn patience(&self) -> Duration {
+    pub fn send_timeout(&self) -> Duration {
         self.entry.node.settings.limits.idle_timeout
     }
 
@@ -130,19 +130,19 @@
         tokio::select! {
             // First: what has come is passed on, also at the end.
             biased;
-            next = self.follow() => next,
-            () = node.ended() => self.cut(),
+            next = self.next_from_attempts() => next,
+            () = node.ended() => self.end_by_shutdown(),
         }
     }
 
     /// Ends an answer that its process can't end, in a way that shows.
-    fn cut(&mut self) -> Result<Part, Refusal> {
+    fn end_by_shutdown(&mut self) -> Result<Part, Refusal> {
         self.current = None;
         if self.has_all_tokens() {
-            return Ok(self.whole());
+            return Ok(self.finish());
         }
         if self.attempts == 0 {
-            return Err(self.give_up_as(Reason::ProcessEnds));
+            return Err(self.give_up_for(Reason::ProcessEnds));
         }
         // A try that was on its way may have run.
         self.none_has_run = false;
@@ -150,107 +150,109 @@
     }
 
     /// Waits until the process has no more time for running requests.
-    pub async fn process_ends(&self) {
+    pub async fn process_ended(&self) {
         self.entry.node.ended().await;
     }
 
-    async fn follow(&mut self) -> Result<Part, Refusal> {
+    async fn next_from_attempts(&mut self) -> Result<Part, Refusal> {
         loop {
             if self.current.is_none() {
-                self.open().await?;
+                self.start_attempt().await?;
             }
-            match self.step().await {
+            match self.read_step().await {
                 Step::Part(Part::Started { queue_ms }) => self.queue_ms += queue_ms,
                 Step::Part(part) => {
-                    self.first.get_or_insert(self.since.elapsed());
+                    self.first_byte.get_or_insert(self.received_at.elapsed());
                     if matches!(part, Part::Token(_)) {
                         self.delivered += 1;
                     }
                     if matches!(part, Part::End { .. }) {
-                        self.clear();
-                        self.note(Outcome::Answered, None);
+                        self.clear_suspicion();
+                        self.record(Outcome::Answered, None);
                     }
                     return Ok(part);
                 }
-                Step::Refused(refusal) => self.refused(refusal)?,
-                Step::Lost(reason) => self.lost(reason)?,
+                Step::Refused(refusal) => self.handle_refusal(refusal)?,
+                Step::Lost(reason) => self.handle_loss(reason)?,
                 Step::Ended(reason, end) => {
                     let in_trial = self.trial.is_some();
-                    self.entry.crashes.ended(self.work(), end, in_trial);
-                    self.lost(reason)?;
+                    self.entry
+                        .crashes
+                        .record_end(self.fingerprint(), end, in_trial);
+                    self.handle_loss(reason)?;
                 }
             }
             if self.has_all_tokens() {
                 // It broke after its last token: there is nothing to resume.
-                return Ok(self.whole());
+                return Ok(self.finish());
             }
         }
     }
 
     /// The end of an answer whose last token the caller has.
-    fn whole(&mut self) -> Part {
-        self.note(Outcome::Answered, None);
+    fn finish(&mut self) -> Part {
+        self.record(Outcome::Answered, None);
         Part::End {
             count: self.delivered,
         }
     }
 
     /// What it asks for and who asks.
-    fn work(&self) -> Fingerprint {
+    fn fingerprint(&self) -> Fingerprint {
         crashes::fingerprint(self.service(), &self.req.tenant, &self.req.call)
     }
 
     /// Notes the whole answer: what upstreams did before wasn't by it.
-    fn clear(&self) {
+    fn clear_suspicion(&self) {
         if !self.entry.crashes.is_empty() {
-            self.entry.crashes.answered(self.work());
+            self.entry.crashes.record_answer(self.fingerprint());
         }
     }
 
     /// Refuses it if it is held back, as upstreams ended under it.
-    async fn admit(&mut self) -> Result<(), Refusal> {
+    async fn check_crashes(&mut self) -> Result<(), Refusal> {
         if self.entry.crashes.is_empty() {
             return Ok(());
         }
-        let held = match self.entry.crashes.admit(self.work()).await {
-            Admission::Usual => return Ok(()),
-            Admission::Trial(number) => {
+        let held = match self.entry.crashes.decide(self.fingerprint()).await {
+            SendDecision::Allow => return Ok(()),
+            SendDecision::Trial(number) => {
                 self.trial = Some(number);
                 return Ok(());
             }
-            Admission::Held(Proof::Open) => {
+            SendDecision::HoldBack(Proof::Open) => {
                 Refusal::not_run(Reason::CrashSuspected).retry_in(NO_UPSTREAM_RETRY_MS)
             }
-            Admission::Held(Proof::Proven) => Refusal::not_run(Reason::CrashesUpstreams),
+            SendDecision::HoldBack(Proof::Proven) => Refusal::not_run(Reason::CrashesUpstreams),
         };
         Err(self.give_up(held))
     }
 
     /// Opens the next try.
-    async fn open(&mut self) -> Result<(), Refusal> {
-        self.admit().await?;
-        let counted = self.attempts - self.cuts;
-        let spent = counted >= self.entry.node.settings.limits.attempts
+    async fn start_attempt(&mut self) -> Result<(), Refusal> {
+        self.check_crashes().await?;
+        let counted = self.attempts - self.interrupted_attempts;
+        let exhausted = counted >= self.entry.node.settings.limits.attempts
             || (counted > 0 && !self.entry.spend_retry());
-        if spent {
-            return Err(self.give_up_as(Reason::NoUpstream));
+        if exhausted {
+            return Err(self.give_up_for(Reason::NoUpstream));
         }
-        if self.left().is_zero() {
-            return Err(self.give_up_as(Reason::DeadlinePassed));
+        if self.deadline_left().is_zero() {
+            return Err(self.give_up_for(Reason::DeadlinePassed));
         }
         let probe = self.probe();
         let doc = self.req.doc.doc.clone();
         let Some(chosen) = choose(&self.entry, &doc, &probe, &self.tried).await else {
-            return Err(self.give_up_as(Reason::NoUpstream));
+            return Err(self.give_up_for(Reason::NoUpstream));
         };
         self.send(chosen).await
     }
 
     /// Gives up with the last agent's refusal, which says more to the caller, or
     /// else for a reason of the entry's own.
-    fn give_up_as(&mut self, reason: Reason) -> Refusal {
+    fn give_up_for(&mut self, reason: Reason) -> Refusal {
         let own = Refusal::not_run(reason).retry_in(NO_UPSTREAM_RETRY_MS);
-        let refusal = self.refusal.unwrap_or(own);
+        let refusal = self.last_refusal.unwrap_or(own);
         self.give_up(refusal)
     }
 
@@ -266,11 +268,11 @@
 
     /// What is left of the deadline. A stream that goes on elsewhere has met
     /// its deadline already, and gets the class's time once more.
-    fn left(&self) -> Duration {
+    fn deadline_left(&self) -> Duration {
         if self.delivered > 0 {
             return self.req.class.deadline;
         }
-        self.req.deadline.saturating_sub(self.since.elapsed())
+        self.req.deadline.saturating_sub(self.received_at.elapsed())
     }
 
     /// What is left of the process's time, if it is stopping.
@@ -293,7 +295,7 @@
         }
     }
 
-    async fn send(&mut self, chosen: Chosen) -> Result<(), Refusal> {
+    async fn send(&mut self, chosen: ChosenUpstream) -> Result<(), Refusal> {
         self.attempts += 1;
         if let Call::Completion(c) = &mut self.req.call {
             c.resume_from = self.delivered as u32;
@@ -305,7 +307,7 @@
             service: self.service().to_owned(),
             tenant: self.req.tenant.clone(),
             class: self.req.class.name.clone(),
-            deadline_ms: self.left().as_millis() as u64,
+            deadline_ms: self.deadline_left().as_millis() as u64,
             ends_ms: self.process_left().map(|left| left.as_millis() as u64),
             doc_version: self.req.doc.version,
             entry: self.entry.node.settings.name.clone(),
@@ -314,7 +316,7 @@
         self.tried.push(chosen.name.clone());
         self.upstream = Some(chosen.name.clone());
         let req = chosen.peer.request(Method::POST, PATH_RUN, body);
-        let wait = self.left() + SLACK;
+        let wait = self.deadline_left() + AGENT_TIMEOUT_MARGIN;
         match tokio::time::timeout(wait, chosen.peer.send(req)).await {
             Ok(Ok(answer)) if answer.status().is_success() => {
                 let body = answer.into_body();
@@ -323,29 +325,29 @@
                 Ok(())
             }
             // The agent turned the message itself down, before it looked at the call.
-            Ok(Ok(_)) => self.refused(Refusal::not_run(Reason::NotReady)),
+            Ok(Ok(_)) => self.handle_refusal(Refusal::not_run(Reason::NotReady)),
             Ok(Err(CallError::NotSent(_))) => {
                 self.entry.health.failed(chosen.peer.addr(), Instant::now());
-                self.refused(Refusal::not_run(Reason::PeerLost))
+                self.handle_refusal(Refusal::not_run(Reason::PeerLost))
             }
             Ok(Err(CallError::MaybeSent(_))) | Err(_) => {
                 self.entry.health.failed(chosen.peer.addr(), Instant::now());
-                self.lost(Reason::PeerLost)
+                self.handle_loss(Reason::PeerLost)
             }
         }
     }
 
     /// Reads the next part of the current try.
-    async fn step(&mut self) -> Step {
-        let left = self.left();
+    async fn read_step(&mut self) -> Step {
+        let deadline_left = self.deadline_left();
         let idle = self.entry.node.settings.limits.idle_timeout;
         let Some(current) = &mut self.current else {
             return Step::Lost(Reason::PeerLost);
         };
-        let wait = if current.started { idle } else { left } + SLACK;
-        let part = match tokio::time::timeout(wait, current.read()).await {
+        let wait = if current.started { idle } else { deadline_left } + AGENT_TIMEOUT_MARGIN;
+        let part = match tokio::time::timeout(wait, current.next_part()).await {
             Ok(Some(part)) => part,
-            Ok(None) => return self.agent_broke_off().await,
+            Ok(None) => return self.agent_connection_broke().await,
             Err(_) => return Step::Lost(Reason::PeerLost),
         };
         match part {
@@ -362,7 +364,7 @@
 
     /// The connection to the agent broke: what ends agents is held against the request as
     /// what ends upstreams is.
-    async fn agent_broke_off(&self) -> Step {
+    async fn agent_connection_broke(&self) -> Step {
         let name = self.upstream.as_deref().unwrap_or_default();
         let doc = &self.req.doc.doc;
         let agent = doc.upstream_named(name).map(|id| doc.upstream(id).agent);
@@ -372,32 +374,32 @@
         let timeout = self.entry.node.settings.limits.probe_timeout;
         match Pool::new(agent, timeout).is_reachable().await {
             true => Step::Lost(Reason::PeerLost),
-            false => Step::Ended(Reason::PeerLost, crashes::agent_end(name)),
+            false => Step::Ended(Reason::PeerLost, crashes::agent_end_id(name)),
         }
     }
 
     /// A try was refused: another may be made if no upstream has run it.
-    fn refused(&mut self, refusal: Refusal) -> Result<(), Refusal> {
+    fn handle_refusal(&mut self, refusal: Refusal) -> Result<(), Refusal> {
         self.current = None;
         if refusal.reason == Reason::ProcessEnds {
             // The agent stopped in the middle: another may go on with it, or that one
             // once it is back.
-            self.cuts += 1;
+            self.interrupted_attempts += 1;
             self.tried.pop();
-            return self.lost(Reason::ProcessEnds);
+            return self.handle_loss(Reason::ProcessEnds);
         }
-        if refusal.outcome == Outcome::NotRun && may_go_elsewhere(refusal.reason) {
-            self.refusal = Some(refusal);
+        if refusal.outcome == Outcome::NotRun && may_retry_elsewhere(refusal.reason) {
+            self.last_refusal = Some(refusal);
             return Ok(());
         }
         Err(self.give_up(refusal))
     }
 
     /// A try broke off: another may be made only for an idempotent request.
-    fn lost(&mut self, reason: Reason) -> Result<(), Refusal> {
+    fn handle_loss(&mut self, reason: Reason) -> Result<(), Refusal> {
         self.current = None;
         self.none_has_run = false;
-        self.refusal = None;
+        self.last_refusal = None;
         if self.req.class.idempotent {
             return Ok(());
         }
@@ -409,20 +411,20 @@
         if !self.none_has_run {
             refusal.outcome = Outcome::Unknown;
         } else if let Some(number) = self.trial.take() {
-            self.entry.crashes.return_trial(self.work(), number);
+            self.entry.crashes.return_trial(self.fingerprint(), number);
         }
-        self.note(refusal.outcome, Some(refusal.reason));
+        self.record(refusal.outcome, Some(refusal.reason));
         refusal
     }
 
     /// Notes what became of the request, once.
-    fn note(&mut self, outcome: Outcome, reason: Option<Reason>) {
-        if std::mem::replace(&mut self.is_closed, true) {
+    fn record(&mut self, outcome: Outcome, reason: Option<Reason>) {
+        if std::mem::replace(&mut self.is_recorded, true) {
             return;
         }
-        account::close(
+        accounting::record(
             &self.entry,
-            &Ended {
+            &EndedRequest {
                 id: self.req.id,
                 service: &self.req.doc.doc.service,
                 tenant: &self.req.tenant,
@@ -432,8 +434,8 @@
                 upstream: self.upstream.as_deref(),
                 attempts: self.attempts,
                 queue_ms: self.queue_ms,
-                first: self.first,
-                since: self.since,
+                first_byte: self.first_byte,
+                received_at: self.received_at,
                 deadline: self.req.deadline,
                 count: self.delivered,
             },
@@ -454,6 +456,6 @@
         } else {
             Reason::CallerGone
         };
-        self.note(outcome, Some(reason));
+        self.record(outcome, Some(reason));
     }
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -12,7 +12,7 @@
 const RETRIES_PER_REQUEST: f64 = 0.2;
 /// Retries that each window allows besides: a few requests must be able to go
 /// elsewhere however little load there is.
-const RETRY_ALLOWANCE: f64 = 50.0;
+const RETRIES_PER_WINDOW: f64 = 50.0;
 /// Window over which both count: the time in which a failing upstream is left out.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
@@ -27,7 +27,7 @@
     pub health: AgentHealth,
     /// Work under which upstreams end.
     pub crashes: Crashes,
-    budget: Mutex<Budget>,
+    retry_budget: Mutex<Budget>,
 }
 
 impl Entry {
@@ -39,9 +39,9 @@
             crashes: Crashes::new(node.platform.clone(), node.settings.name.clone()),
             node,
             health: AgentHealth::default(),
-            budget: Mutex::new(Budget::new(
+            retry_budget: Mutex::new(Budget::new(
                 RETRIES_PER_REQUEST,
-                RETRY_ALLOWANCE,
+                RETRIES_PER_WINDOW,
                 RETRY_WINDOW,
                 1,
             )),
@@ -50,14 +50,14 @@
 
     /// Notes a request, which earns a part of a retry.
     pub fn earn_retry(&self) {
-        let mut budget = self.budget.lock().expect("no panic while locked");
-        budget.earn(Instant::now());
+        let mut retry_budget = self.retry_budget.lock().expect("no panic while locked");
+        retry_budget.earn(Instant::now());
     }
 
     /// Takes a retry, if there is one.
     pub fn spend_retry(&self) -> bool {
-        let mut budget = self.budget.lock().expect("no panic while locked");
-        budget.spend(Instant::now())
+        let mut retry_budget = self.retry_budget.lock().expect("no panic while locked");
+        retry_budget.spend(Instant::now())
     }
 
     /// Whether it takes requests: it isn't stopping, and has a document for
