--- a/crates/agent/src/admission.rs
+++ b/crates/agent/src/admission.rs
@@ -1,11 +1,11 @@
-//! Admission: who runs at the upstream, who waits, who is refused.
+//! Admission control for one upstream: a bounded queue per class, and a limited number of slots.
 //!
-//! Each class has a bounded queue. The most urgent waiting request runs first;
-//! among equally urgent classes the one furthest below its share; within a
-//! class the tenant that had least. A request that waited past its class's
-//! starvation bound goes first, as long as its class runs less than its share
-//! of the slots, so that overdue work can't crowd out urgent work. What can't
-//! begin before its deadline is refused at once.
+//! A free slot goes to the waiting request with the highest urgency. Among equally urgent classes
+//! it goes to the one furthest below its share, and within a class to the tenant that has received
+//! the least work. Requests that have waited longer than the starvation bound of their class go
+//! first, as long as the class uses less than its share of the slots, so that overdue requests
+//! can't crowd out urgent ones. A request that can't start before its deadline is refused
+//! immediately.
 
 mod pick;
 mod queue;
@@ -20,33 +20,33 @@
 use tokio::sync::oneshot;
 use wire::{Reason, Refusal};
 
-/// Shortest time after which a refused caller is asked back, in milliseconds.
+/// Minimum retry delay sent with a refusal, in milliseconds.
 pub const MIN_RETRY_MS: u64 = 100;
 
-/// The queue and slots of one upstream.
+/// The queue and the slots of one upstream.
 #[derive(Debug)]
 pub struct Admission {
     state: Mutex<QueueState>,
 }
 
-/// What a request brings to admission.
+/// A request for a slot.
 #[derive(Debug, Clone)]
 pub struct SlotRequest<'a> {
-    /// Its class.
+    /// Class of the request.
     pub class: &'a Class,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: &'a str,
-    /// The tenant's limits.
+    /// Limits per tenant.
     pub limits: TenantLimits,
-    /// What it is expected to cost.
+    /// Expected cost of the request.
     pub cost: Cost,
-    /// When it must have begun to be answered.
+    /// Latest time for the first byte of the response.
     pub deadline: Instant,
-    /// When its answer must have ended, as the entry ends then.
+    /// Time at which the entry exits; the response must be complete by then.
     pub must_end_by: Option<Instant>,
 }
 
-/// A slot at the upstream, free again when this is dropped.
+/// A slot at the upstream, released on drop.
 #[derive(Debug)]
 pub struct SlotGuard {
     admission: Arc<Admission>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// A place in the queue, left when this is dropped.
+/// A place in the queue, given up on drop.
 struct QueueGuard {
     admission: Arc<Admission>,
     id: u64,
@@ -73,7 +73,7 @@
 }
 
 impl Admission {
-    /// Admission with no slots yet; the document sets them.
+    /// Creates an admission queue without slots; the document sets their number.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(QueueState::default()),
@@ -84,41 +84,41 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Sets how many requests the upstream runs at once.
+    /// Sets the maximum number of requests that the upstream runs concurrently.
     pub fn set_slots(self: &Arc<Self>, slots: u32) {
         let grants = self.lock().set_slots(slots, Instant::now());
         self.clone().deliver_grants(grants);
     }
 
-    /// Refuses all that wait, and all that come while closed.
+    /// Refuses all waiting requests, and all new ones until [`Self::open`] is called.
     pub fn close(&self, reason: Reason) {
         for tx in self.lock().close(reason) {
-            // A waiter that went away needs no answer.
+            // The send fails if the waiter was cancelled, which needs no handling.
             let _ = tx.send(Err(Refusal::not_run(reason).retry_in(MIN_RETRY_MS)));
         }
     }
 
-    /// Takes requests again.
+    /// Accepts requests again after [`Self::close`].
     pub fn open(&self) {
         self.lock().open();
     }
 
-    /// Requests that wait and that run.
+    /// Number of waiting requests and of running requests.
     pub fn counts(&self) -> (u32, u32) {
         self.lock().counts()
     }
 
-    /// Requests that run and wait, in thousandths of the slots.
+    /// Running and waiting requests, in thousandths of the slots.
     pub fn load(&self) -> u32 {
         self.lock().load()
     }
 
-    /// Expected time in the queue of a request of a class, in milliseconds.
+    /// Expected time in the queue for a request of this class, in milliseconds.
     pub fn expected_wait_ms(&self, class: &Class) -> f64 {
         self.lock().expected_wait_ms(class.urgency, Instant::now())
     }
 
-    /// Waits for a slot. Dropping the wait leaves the queue.
+    /// Waits for a slot until the deadline of the request. Dropping the future leaves the queue.
     pub async fn admit(self: &Arc<Self>, request: SlotRequest<'_>) -> Result<SlotGuard, Refusal> {
         let (tx, mut rx) = oneshot::channel();
         let now = Instant::now();
@@ -131,10 +131,10 @@
         let left = request.deadline.saturating_duration_since(now);
         match tokio::time::timeout(left, &mut rx).await {
             Ok(Ok(answer)) => answer,
-            // The queue never drops a waiter without an answer.
+            // Unreachable: the queue answers every waiter before it drops the sender.
             Ok(Err(_)) => Err(Refusal::not_run(Reason::NotReady)),
             Err(_) => {
-                // The slot may have come just now; then it is given back here.
+                // A slot may have been granted after the timeout; dropping it here releases it.
                 rx.close();
                 drop(rx.try_recv());
                 let wait_ms = self.expected_wait_ms(request.class);
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Sends slots to those who got them, outside the lock: a ticket that
-    /// can't be sent is dropped here, which frees its slot for the next.
+    /// Sends granted slots to their waiters without holding the lock. If the waiter is gone, the
+    /// guard is dropped here, which gives the slot to the next one.
     fn deliver_grants(self: Arc<Self>, grants: Vec<Grant>) {
         for grant in grants {
             let slot = SlotGuard {
@@ -156,12 +156,12 @@
     }
 }
 
-/// When a refused caller should come back, from the expected wait.
+/// Retry delay for a refused request, based on the expected wait.
 fn retry_after_ms(wait_ms: f64) -> u64 {
     (wait_ms as u64).max(MIN_RETRY_MS)
 }
 
-/// Milliseconds from now until a time, as a number that may be negative.
+/// Milliseconds from `now` until `at`; negative if `at` has passed.
 fn ms_until(at: Instant, now: Instant) -> f64 {
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
     ms(at.saturating_duration_since(now)) - ms(now.saturating_duration_since(at))
--- a/crates/agent/src/admission/pick.rs
+++ b/crates/agent/src/admission/pick.rs
@@ -1,69 +1,69 @@
-//! The choice of the next request to run, as a function of what waits and runs.
+//! Selects the next request to run, as a pure function of the waiting and running requests.
 
 use std::time::{Duration, Instant};
 
-/// A request that waits, as far as the choice needs it.
+/// A waiting request, reduced to what the selection needs.
 #[derive(Debug, Clone)]
 pub struct Waiter {
-    /// Rises with arrival.
+    /// Sequence number in order of arrival.
     pub id: u64,
-    /// Its class, as a place in the classes in use.
+    /// Index of its class in [`PickInput::classes`].
     pub class: usize,
-    /// Its tenant, as a place in the tenants in use.
+    /// Index of its tenant in [`PickInput::tenants`].
     pub tenant: usize,
-    /// 0 is served first.
+    /// Urgency of its class; 0 is served first.
     pub urgency: u32,
-    /// When it came.
+    /// When it joined the queue.
     pub queued_at: Instant,
-    /// How long more urgent work may hold it back.
+    /// Maximum time that more urgent requests may delay it.
     pub starvation_bound: Duration,
 }
 
-/// A class that has requests here.
+/// A class that has waiting or running requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassUsage {
-    /// The class's name.
+    /// Name of the class.
     pub name: String,
-    /// Fraction of the slots that it may expect.
+    /// Fraction of the slots that the class is entitled to.
     pub share: f64,
-    /// Its requests that wait.
+    /// Number of its waiting requests.
     pub waiting: u32,
-    /// Its requests that run.
+    /// Number of its running requests.
     pub running: u32,
 }
 
-/// A tenant that has requests here.
+/// A tenant that has waiting or running requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TenantUsage {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its requests that wait.
+    /// Number of its waiting requests.
     pub waiting: u32,
-    /// Its requests that run.
+    /// Number of its running requests.
     pub running: u32,
-    /// Most of its requests that may run.
+    /// Maximum number of its running requests.
     pub limit: u32,
-    /// Work that it was given, in milliseconds, on the fair queue's own clock.
+    /// Work started for the tenant so far, in milliseconds of virtual time.
     pub served_ms: f64,
 }
 
-/// Everything that the choice looks at.
+/// Input of the selection.
 #[derive(Debug)]
 pub struct PickInput<'a> {
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiters: &'a [Waiter],
-    /// Classes in use.
+    /// Classes that the waiters refer to.
     pub classes: &'a [ClassUsage],
-    /// Tenants in use.
+    /// Tenants that the waiters refer to.
     pub tenants: &'a [TenantUsage],
-    /// Requests that the upstream runs at once.
+    /// Maximum number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// The time.
+    /// Current time.
     pub now: Instant,
 }
 
-/// Gives the place of the request to run next, or none if all that wait are
-/// held back by their tenants' limits.
+/// Returns the index of the waiter to run next, or `None` if the tenants of all waiters are at
+/// their limits.
 pub fn pick(input: &PickInput<'_>) -> Option<usize> {
     let is_within_limit = |w: &Waiter| {
         let t = &input.tenants[w.tenant];
@@ -102,8 +102,7 @@
     best.map(|(at, _)| at)
 }
 
-/// Whether a class runs less than its share of the slots; at least one slot is
-/// within each share.
+/// Whether a class runs less than its share of the slots. A share is at least one slot.
 fn below_share(class: &ClassUsage, slots: u32) -> bool {
     class.running < ((class.share * f64::from(slots)) as u32).max(1)
 }
--- a/crates/agent/src/admission/queue.rs
+++ b/crates/agent/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue's state: what waits, what runs, and for whom.
+//! State of the admission queue: waiting and running requests, and usage per class and tenant.
 
 use super::pick::{ClassUsage, PickInput, TenantUsage, Waiter, pick};
 use super::{MIN_RETRY_MS, SlotGuard, SlotRequest, ms_until, retry_after_ms};
@@ -7,10 +7,10 @@
 use tokio::sync::oneshot;
 use wire::{Reason, Refusal};
 
-/// Where a waiter's answer goes.
+/// Channel for the result of a wait.
 pub type Reply = oneshot::Sender<Result<SlotGuard, Refusal>>;
 
-/// A slot that was given to a waiter.
+/// A slot that was assigned to a waiter.
 #[derive(Debug)]
 pub struct Grant {
     pub id: u64,
@@ -33,20 +33,22 @@
     expected_end: Instant,
 }
 
-/// All of it, behind the lock of [`super::Admission`].
+/// State protected by the lock of [`super::Admission`].
 #[derive(Debug, Default)]
 pub struct QueueState {
     slots: u32,
     closed: Option<Reason>,
     next_id: u64,
-    /// Waiters and what is kept for each, in order of arrival.
+    /// Waiting requests in order of arrival, and the data kept for each of them at the same index.
     waiters: Vec<Waiter>,
     pending: Vec<Pending>,
     running: Vec<RunningRequest>,
-    /// Arenas: places stay valid while in use, free ones are used again.
+    /// Usage per class and tenant. An index stays valid while the item is in use, and unused items
+    /// are overwritten.
     classes: Vec<ClassUsage>,
     tenants: Vec<TenantUsage>,
-    /// The fair queue's clock: what the least served waiting tenant was given.
+    /// Virtual time of the fair queue: the work that the last started tenant had received before.
+    /// Never decreases.
     virtual_time_ms: f64,
 }
 
@@ -78,8 +80,8 @@
         all.saturating_mul(1000) / self.slots.max(1)
     }
 
-    /// Expected time until a slot is free for work of an urgency: what runs and
-    /// what goes before, over the slots.
+    /// Expected time until a slot is free for a request of this urgency: the remaining work of
+    /// running requests and the cost of those queued ahead, divided by the number of slots.
     pub fn expected_wait_ms(&self, urgency: u32, now: Instant) -> f64 {
         if (self.running.len() as u32) < self.slots && self.waiters.is_empty() {
             return 0.0;
@@ -97,7 +99,7 @@
         (running_ms + queued_ms) / f64::from(self.slots.max(1))
     }
 
-    /// Joins the queue, or is refused at once.
+    /// Adds a request to the queue, or refuses it immediately.
     pub fn enqueue(
         &mut self,
         request: &SlotRequest<'_>,
@@ -114,14 +116,15 @@
         if self.tenant_is_full(request) {
             return Err(Refusal::not_run(Reason::TenantLimit).retry_in(retry_after_ms(wait_ms)));
         }
-        // With nothing running the estimate is tried out, or it could never mend.
+        // If nothing is running, a request is admitted even if its estimate is too high; otherwise
+        // a wrong estimate could never be corrected.
         let first_byte_in_ms = wait_ms + request.cost.first_byte_ms;
         if first_byte_in_ms > ms_until(request.deadline, now) && !self.running.is_empty() {
             return Err(
                 Refusal::not_run(Reason::DeadlineUnreachable).retry_in(retry_after_ms(wait_ms))
             );
         }
-        // Of an answer of unknown length its deadline is all that is known.
+        // If the length of the response is unknown, it may last until the deadline.
         let known_ms = (request.cost.total_ms > 0.0).then_some(wait_ms + request.cost.total_ms);
         let expected_end = known_ms.unwrap_or_else(|| ms_until(request.deadline, now));
         if ends_after(request.must_end_by, expected_end, now) {
@@ -150,12 +153,12 @@
         Ok((id, self.dispatch(now)))
     }
 
-    /// Leaves the queue, if still in it.
+    /// Removes a request from the queue if it is still waiting.
     pub fn cancel(&mut self, id: u64) {
         self.remove(id);
     }
 
-    /// Frees a slot.
+    /// Releases the slot of a request that has ended.
     pub fn release(&mut self, id: u64, now: Instant) -> Vec<Grant> {
         if let Some(at) = self.running.iter().position(|a| a.id == id) {
             let a = self.running.swap_remove(at);
@@ -180,7 +183,7 @@
             let Some(p) = self.remove(w.id) else { break };
             if let Some(reason) = self.unreachable_reason(&p, now) {
                 let refusal = Refusal::not_run(reason).retry_in(MIN_RETRY_MS);
-                // A waiter that went away needs no answer.
+                // The send fails if the waiter was cancelled, which needs no handling.
                 let _ = p.tx.send(Err(refusal));
                 continue;
             }
@@ -190,8 +193,9 @@
         grants
     }
 
-    /// Why a request's answer can't begin or end in time any more: the one while
-    /// others run, the other as its entry ends before.
+    /// Returns why a request can no longer be served in time: its response would not end before its
+    /// entry exits, or would not start before its deadline. The latter only counts while other
+    /// requests run.
     fn unreachable_reason(&self, p: &Pending, now: Instant) -> Option<Reason> {
         if ends_after(p.must_end_by, p.cost.total_ms, now) {
             return Some(Reason::Leaving);
@@ -213,7 +217,7 @@
         let tenant = &mut self.tenants[w.tenant];
         tenant.running += 1;
         self.virtual_time_ms = self.virtual_time_ms.max(tenant.served_ms);
-        // A request of unknown cost still counts for something.
+        // A request of unknown cost counts as 1 ms.
         tenant.served_ms += p.cost.total_ms.max(1.0);
     }
 
@@ -280,7 +284,7 @@
             Some(at) if self.tenants[at].name == name => {
                 let t = &mut self.tenants[at];
                 t.limit = limit;
-                // Time away earns no credit.
+                // A tenant gains no credit for the time during which it had no requests.
                 if t.waiting == 0 && t.running == 0 {
                     t.served_ms = t.served_ms.max(virtual_time_ms);
                 }
@@ -305,7 +309,7 @@
     }
 }
 
-/// Whether something that takes so many milliseconds from now on lasts past an end.
+/// Whether something that takes `ms` milliseconds from now lasts beyond `end`.
 fn ends_after(end: Option<Instant>, ms: f64, now: Instant) -> bool {
     end.is_some_and(|end| ms > ms_until(end, now))
 }
--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/attempt.rs
@@ -1,4 +1,4 @@
-//! A try that is being served, and how it ended.
+//! An attempt to serve a request, and its result.
 
 use crate::frames::FrameSender;
 use crate::state::Agent;
@@ -9,57 +9,58 @@
 use store::InForce;
 use wire::{Refusal, RequestContext};
 
-/// How a try ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The whole answer was sent: so many tokens or bytes.
+    /// The complete response was sent; contains the number of tokens or bytes.
     Answered(u64),
-    /// It was refused.
+    /// The attempt was refused.
     Refused(Refusal),
-    /// The answer broke off.
+    /// The response broke off.
     Broken,
-    /// The same, as the upstream has ended; the number tells this end from others.
+    /// The response broke off because the upstream process exited; contains an identifier of this
+    /// exit.
     UpstreamEnded(u32),
-    /// The entry went away.
+    /// The entry closed the connection.
     EntryGone,
 }
 
-/// Times of a try.
+/// Durations measured during an attempt.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AttemptTimes {
-    /// In the queue.
+    /// Time in the queue.
     pub queue: Duration,
-    /// From receipt to the first byte.
+    /// Time from receiving the request to the first byte of the response.
     pub first_byte: Option<Duration>,
 }
 
-/// A try that is being served.
+/// An attempt that is being served.
 pub struct Attempt<'a> {
-    /// The agent.
+    /// The agent that serves it.
     pub agent: &'a Arc<Agent>,
-    /// What came with the request.
+    /// Request metadata sent by the entry.
     pub cx: &'a RequestContext,
-    /// The document that it is served by.
+    /// The document that it is served under.
     pub doc: &'a InForce,
-    /// Its class.
+    /// Class of the request.
     pub class: &'a Class,
-    /// The way back.
+    /// Channel for the response to the entry.
     pub frames: &'a mut FrameSender,
-    /// Its times.
+    /// Durations measured so far.
     pub times: &'a mut AttemptTimes,
-    /// When it was received.
+    /// When the request was received.
     pub received_at: Instant,
 }
 
 impl Attempt<'_> {
-    /// Notes the first byte of the answer.
+    /// Records the time of the first byte, if it is the first.
     pub fn record_first_byte(&mut self) {
         self.times
             .first_byte
             .get_or_insert(self.received_at.elapsed());
     }
 
-    /// Logs what the upstream did wrong.
+    /// Logs an invalid or failed response of the upstream.
     pub fn log_bad_answer(&self, why: String) {
         emit(&Event::BadAnswer {
             request: self.cx.request.to_string(),
--- a/crates/agent/src/claims.rs
+++ b/crates/agent/src/claims.rs
@@ -1,12 +1,11 @@
-//! Claims of non-idempotent calls.
+//! Idempotency claims of non-idempotent calls.
 //!
-//! Before the first byte of such a call goes upstream, a row for its key is
-//! committed, and only who inserted the row runs the call. Many claims share
-//! one transaction. A write whose outcome is unknown is read back; if even that
-//! can't be told, the claim is given up, the call isn't run, and the row is
-//! marked released later, so that the key isn't blocked for good. Marking it
-//! also shuts out the lost write itself: a claim is only inserted where there
-//! is no row, and from then on there is one.
+//! Before a call is sent to the upstream, a row for its idempotency key is committed, and only the
+//! agent that inserted the row runs the call. Claims are written in batches, one transaction each.
+//! If the outcome of a write is unknown, the rows are read back. If the outcome is still unknown
+//! after that, the claim is given up and the call isn't run. The row is later marked as released so
+//! that the key doesn't stay blocked. The release also invalidates the original write should it
+//! arrive late: a claim is only inserted if there is no row, and after the release there is one.
 
 mod batch;
 
@@ -17,67 +16,67 @@
 use store::rows::{Claim, ClaimState, KeptAnswer};
 use tokio::sync::{mpsc, oneshot};
 
-/// Jobs that may wait for the next transaction.
+/// Maximum number of claims waiting for the next transaction.
 const MAX_QUEUED_CLAIMS: usize = 4096;
-/// Answers and releases that may wait to be written. Past this an answer isn't
-/// kept and a key stays held, which is safe.
+/// Maximum number of final states and releases waiting to be written. Beyond this the response
+/// isn't stored and the key stays held, which is safe.
 const MAX_QUEUED_UPDATES: usize = 4096;
 
-/// What came of claiming a key.
+/// Result of claiming a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// The key is ours: run the call.
+    /// The agent holds the key and must run the call.
     Won(HeldClaim),
-    /// The key's call was answered before.
+    /// The call was answered before; contains the stored response.
     Kept(KeptAnswer),
-    /// The key was used before, and its answer can't be told.
+    /// The key was used before, and the response isn't available.
     InUse,
     /// The key was used before for a different call.
     OtherCall,
-    /// It couldn't be claimed; nothing was or will be run by it.
+    /// The key couldn't be claimed; the call hasn't run and won't be run by this attempt.
     Unavailable,
 }
 
-/// A claim that this agent holds.
+/// A claim held by this agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldClaim {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The row's version.
+    /// Version of the row.
     pub version: u64,
-    /// The row.
+    /// Value of the row.
     pub claim: Claim,
 }
 
-/// A claim to be made.
+/// A request to claim a key.
 #[derive(Debug)]
 pub struct ClaimJob {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The row, in state held.
+    /// Value of the row, in state `Held`.
     pub claim: Claim,
-    /// Whether every earlier try of the same request came back as not run.
+    /// Whether all earlier attempts of this request were reported as not run.
     pub none_has_run: bool,
     reply: oneshot::Sender<ClaimResult>,
 }
 
-/// What is to be written once a claim has served.
+/// A write that follows a claim.
 #[derive(Debug)]
 enum ClaimUpdate {
-    /// The call's end.
+    /// Stores the final state of a call.
     Finish(HeldClaim, ClaimState),
-    /// A claim whose write's outcome is unknown, to be released.
+    /// Releases a claim whose write had an unknown outcome.
     Release {
         key: String,
         claim: Claim,
-        /// Version of the row that the claim was to be written over.
+        /// Row version that the claim was conditional on.
         expected_version: u64,
     },
-    /// Answers when all before it were tried.
+    /// Replies once all earlier updates have been attempted.
     Flush(oneshot::Sender<()>),
 }
 
-/// Claims of one agent. Closing the channels ends the tasks.
+/// Writes the claims of one agent. Its tasks end when the channels are closed.
 #[derive(Debug)]
 pub struct Claims {
     agent: String,
@@ -106,7 +105,7 @@
         })
     }
 
-    /// The agent's name in claims.
+    /// Name of the agent, as stored in claims.
     pub fn agent(&self) -> &str {
         &self.agent
     }
@@ -123,26 +122,27 @@
         if self.jobs.try_send(job).is_err() {
             return ClaimResult::Unavailable;
         }
-        // The batcher answers each job; it only ends with the process.
+        // The batcher replies to every job and only ends with the process.
         rx.await.unwrap_or(ClaimResult::Unavailable)
     }
 
-    /// Writes how a claimed call ended, after the caller has its answer.
+    /// Stores the final state of a claimed call in the background.
     pub fn finish(&self, held: HeldClaim, state: ClaimState) {
-        // With no room the key stays held: a repeat is told `unknown`, which is true.
+        // If the channel is full the key stays held, and repeats are answered with `unknown`, which
+        // is correct.
         let _ = self.updates.try_send(ClaimUpdate::Finish(held, state));
     }
 
-    /// Waits until all that was closed so far was tried, for at most `within`.
+    /// Waits until all updates queued so far have been attempted, for at most `within`.
     pub async fn flush(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         let wait = async {
             if self.updates.send(ClaimUpdate::Flush(tx)).await.is_ok() {
-                // The writer answers or ends; both end the wait.
+                // The writer replies or exits; either ends the wait.
                 let _ = rx.await;
             }
         };
-        // Past the bound the keys stay held, which is safe.
+        // After the timeout, keys that weren't written stay held, which is safe.
         let _ = tokio::time::timeout(within, wait).await;
     }
 }
--- a/crates/agent/src/claims/batch.rs
+++ b/crates/agent/src/claims/batch.rs
@@ -1,4 +1,4 @@
-//! Writing claims, many in one transaction.
+//! Writes claims and their final states in batches.
 
 use super::{ClaimJob, ClaimResult, ClaimUpdate, HeldClaim};
 use observe::{Event, emit};
@@ -8,35 +8,35 @@
 use store::{Conflict, Row, Table, Token, Txn, WriteError};
 use tokio::sync::mpsc;
 
-/// Time that the first claim of a batch waits for others.
+/// Time for which the first claim of a batch waits for others.
 const CLAIM_BATCH_DELAY: Duration = Duration::from_millis(2);
-/// Time that the first end of a batch waits for others.
+/// Time for which the first final state of a batch waits for others.
 const UPDATE_BATCH_DELAY: Duration = Duration::from_millis(10);
-/// Most claims in one transaction.
+/// Maximum number of claims in a transaction.
 const MAX_BATCH_SIZE: usize = 128;
-/// Looks at rows after a write whose outcome is unknown.
+/// Maximum number of reads after a write with an unknown outcome.
 const MAX_READ_BACKS: u32 = 3;
-/// First and longest wait between tries.
+/// Initial and maximum delay between retries.
 const RETRY_INITIAL: Duration = Duration::from_millis(20);
 const RETRY_MAX: Duration = Duration::from_secs(5);
-/// Tries to write how a call ended, before its key is left held.
+/// Maximum number of attempts to write a final state. After that the key stays held.
 const MAX_FINISH_ATTEMPTS: u32 = 20;
 
-/// Takes jobs and commits them together.
+/// Collects claims and commits them in batches.
 pub struct Batcher<T> {
     pub table: T,
     pub updates: mpsc::Sender<ClaimUpdate>,
 }
 
-/// A job, and the version that its row must have: 0 for a new key, another for
-/// a key that was released.
+/// A claim to be written and the required version of its row: 0 for a new key, or the version of a
+/// released row.
 struct PendingClaim {
     job: ClaimJob,
     expected_version: u64,
 }
 
 impl<T: Table + Clone + Send + Sync + 'static> Batcher<T> {
-    /// Runs until the channel closes.
+    /// Runs until the channel is closed.
     pub async fn run(self, mut rx: mpsc::Receiver<ClaimJob>) {
         let mut pending: Vec<PendingClaim> = Vec::new();
         loop {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Commits a batch; gives the jobs that need another try.
+    /// Commits a batch and returns the claims that have to be retried.
     async fn commit(&self, batch: Vec<PendingClaim>) -> Vec<PendingClaim> {
         let mut txn = Txn::new();
         for item in &batch {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Settles a write whose outcome is unknown. The transaction is whole or
-    /// not at all: a row with our token means that all of it took effect.
+    /// Resolves a write whose outcome is unknown. Transactions are atomic: if any row has the token
+    /// of this one, all of it was committed.
     async fn resolve_unknown(&self, batch: Vec<PendingClaim>, token: Token) {
         let keys: Vec<String> = batch.iter().map(|item| item.job.key.clone()).collect();
         let mut backoff = Backoff::new(RETRY_INITIAL, RETRY_MAX);
@@ -98,7 +98,7 @@
                 }
                 return;
             }
-            // An absent row proves nothing: the write may yet take effect.
+            // A missing row is inconclusive, since the write may still be applied.
             tokio::time::sleep(backoff.wait()).await;
         }
         for item in batch {
@@ -114,7 +114,7 @@
             tenant,
         });
         let key = item.job.key.clone();
-        // With no room the key stays held if the write took effect, which is safe.
+        // If the channel is full and the write was applied, the key stays held, which is safe.
         let _ = self.updates.try_send(ClaimUpdate::Release {
             key,
             claim,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Splits off what can't share a transaction: a key that is in it already.
+/// Separates claims whose key is already in the batch, as a transaction can write a key only once.
 fn split_duplicates(pending: Vec<PendingClaim>) -> (Vec<PendingClaim>, Vec<PendingClaim>) {
     let mut keys: Vec<String> = Vec::new();
     let (mut batch, mut deferred) = (Vec::new(), Vec::new());
@@ -153,8 +153,7 @@
     (batch, deferred)
 }
 
-/// After a refusal: answers the jobs whose key is taken, and gives the others
-/// for another try.
+/// Handles conflicts: replies to claims whose key is taken, and returns the others for a retry.
 fn resolve_conflicts(batch: Vec<PendingClaim>, conflicts: &[Conflict]) -> Vec<PendingClaim> {
     let mut again = Vec::new();
     for mut item in batch {
@@ -175,12 +174,12 @@
 
 #[derive(Debug, PartialEq, Eq)]
 enum Resolution {
-    /// The key may be claimed over the row of this version.
+    /// The key can be claimed if its row still has this version; 0 means no row.
     Free(u64),
     Taken(ClaimResult),
 }
 
-/// What a row that is already there means for a job.
+/// Decides what an existing row means for a claim.
 fn inspect_row(job: &ClaimJob, row: Option<&Row>) -> Resolution {
     let Some(row) = row else {
         return Resolution::Free(0);
@@ -196,8 +195,8 @@
     }
     match old.state {
         ClaimState::Answered(kept) => Resolution::Taken(ClaimResult::Kept(kept)),
-        // An earlier try of the same request that came back as not run never
-        // runs: its agent has given it up for good.
+        // An earlier attempt of the same request that was reported as not run will never run, as
+        // its agent has given it up.
         ClaimState::Held
             if job.none_has_run
                 && old.request == job.claim.request
@@ -219,13 +218,13 @@
 }
 
 fn reply(item: PendingClaim, claimed: ClaimResult) {
-    // A call that was dropped meanwhile has nobody to tell; a claim that it won
-    // stays held, which is safe.
+    // The send fails if the call was cancelled. If its claim was won, the key stays held, which is
+    // safe.
     let _ = item.job.reply.send(claimed);
 }
 
-/// Writes how calls ended and releases what was given up, in the background.
-/// Ends share transactions: nobody waits for them but a repeat of the key.
+/// Writes final states and releases in the background. Final states are batched, as only repeats of
+/// the same key wait for them.
 pub async fn write_updates<T: Table>(table: T, mut rx: mpsc::Receiver<ClaimUpdate>) {
     while let Some(first) = rx.recv().await {
         let mut finished = Vec::new();
@@ -247,7 +246,7 @@
                     claim,
                     expected_version,
                 } => release(&table, &key, claim, expected_version).await,
-                // The waiter may have given up.
+                // The send fails if the waiter has timed out.
                 ClaimUpdate::Flush(tx) => drop(tx.send(())),
             }
         }
@@ -283,8 +282,8 @@
         }
         match table.commit(&txn).await {
             Ok(_) => return,
-            // These were written by this very write before its answer was lost,
-            // or belong to another by now; the rest goes again without them.
+            // Conflicting rows were either written by this transaction before its response was
+            // lost, or have been taken over by another request. The rest is retried without them.
             Err(WriteError::Refused(conflicts)) => {
                 finished.retain(|(held, _)| conflicts.iter().all(|c| c.key != held.key));
             }
@@ -295,8 +294,8 @@
     }
 }
 
-/// Marks a claim released that may or may not have been written, until it is
-/// certain that it is or never will be.
+/// Marks a claim with an unknown outcome as released. Retries until the claim is released or can no
+/// longer be written.
 async fn release<T: Table>(table: &T, key: &str, claim: Claim, mut expected_version: u64) {
     let released = encode(&Claim {
         state: ClaimState::Released,
@@ -323,7 +322,7 @@
     }
 }
 
-/// Whether a row is the claim that was given up, still held.
+/// Whether a row still contains the claim that was given up.
 fn is_same_claim(row: &Row, claim: &Claim) -> bool {
     decode::<Claim>(&row.value).is_some_and(|old| old == *claim)
 }
--- a/crates/agent/src/complete.rs
+++ b/crates/agent/src/complete.rs
@@ -1,4 +1,4 @@
-//! A completion by the engine.
+//! Runs completions on the engine.
 
 use crate::attempt::{Attempt, AttemptResult};
 use engine::client::Token;
@@ -8,12 +8,12 @@
 use std::time::Instant;
 use wire::{Completion, Part, Reason, Refusal, prefix};
 
-/// Runs a completion and sends its tokens.
+/// Runs a completion and forwards its tokens.
 pub async fn complete(attempt: &mut Attempt<'_>, c: &Completion, model: &str) -> AttemptResult {
     let hashes = prefix::hashes(c.prompt.as_bytes());
     let cached_bytes = attempt.agent.prefixes.cached_len(&hashes);
     let body = CompletionBody {
-        // With the try's number, so that a late chunk of an earlier try is foreign.
+        // Contains the attempt number so that late chunks of an earlier attempt are recognized.
         request_id: format!("{}-{}", attempt.cx.request, attempt.cx.attempt),
         model: model.to_owned(),
         prompt: c.prompt.clone(),
@@ -35,11 +35,11 @@
             return AttemptResult::Refused(Refusal::not_run(Reason::NotReady));
         }
         Ok(Err(e)) => return broken(attempt, &e.to_string()),
-        Err(_) => return broken(attempt, "no answer in time"),
+        Err(_) => return broken(attempt, "response timed out"),
     };
     let result = forward_tokens(attempt, c, &mut stream).await;
     if let Some(first) = attempt.times.first_byte {
-        // Only what the engine itself took counts for its rates.
+        // Time in the queue is excluded, since the rates describe the engine alone.
         let first_byte_ms = (first.saturating_sub(attempt.times.queue)).as_secs_f64() * 1000.0;
         let total_ms = started_at.elapsed().as_secs_f64() * 1000.0;
         attempt.agent.prefixes.add(&hashes);
@@ -75,9 +75,9 @@
                 }
             }
             Ok(Ok(Token::End(n))) if n == count => return AttemptResult::Answered(u64::from(n)),
-            Ok(Ok(Token::End(_))) => return broken(attempt, "count of tokens is off"),
+            Ok(Ok(Token::End(_))) => return broken(attempt, "token count mismatch"),
             Ok(Err(e)) => return broken(attempt, &e.to_string()),
-            Err(_) => return broken(attempt, "no token in time"),
+            Err(_) => return broken(attempt, "timed out waiting for a token"),
         }
     }
 }
--- a/crates/agent/src/exits.rs
+++ b/crates/agent/src/exits.rs
@@ -1,10 +1,11 @@
-//! Ends of the upstream, each told once however many requests saw it.
+//! Identifies exits of the upstream process, so that each is counted once regardless of how many
+//! requests observed it.
 
 use std::sync::Mutex;
 use std::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Counts the upstream's ends.
+/// Counts exits of the upstream process.
 #[derive(Debug, Default)]
 pub struct UpstreamExits {
     inner: Mutex<Inner>,
@@ -13,14 +14,14 @@
 #[derive(Debug, Default)]
 struct Inner {
     count: u64,
-    /// When the last one was noticed.
+    /// When the last exit was observed.
     last: Option<Instant>,
 }
 
 impl UpstreamExits {
-    /// Notes that a try saw it end that was sent to it at a time; gives a number that tells
-    /// this end from those of other upstreams and of other processes, `agent` being this
-    /// one's name and start. One that was sent after the last end saw another.
+    /// Records that a request sent at `sent_at` observed an exit. Returns an identifier of the exit
+    /// that distinguishes it from exits of other upstreams and other processes; `agent` contains
+    /// the name and start of this agent. A request sent after the last recorded exit observed a new one.
     pub fn record_exit(&self, agent: &str, sent_at: Instant) -> u32 {
         let mut inner = self.inner.lock().expect("no panic while locked");
         if inner.last.is_none_or(|last| sent_at > last) {
--- a/crates/agent/src/frames.rs
+++ b/crates/agent/src/frames.rs
@@ -1,11 +1,11 @@
-//! Sending the frames of one answer.
+//! Sends the frames of a response to the entry.
 
 use net::BodySender;
 use net::body::{Gone, Watcher};
 use std::time::Duration;
 use wire::{Frame, Part, Refusal, RequestId};
 
-/// The way back to the entry, for one try.
+/// Sender of the frames of one attempt.
 #[derive(Debug)]
 pub struct FrameSender {
     tx: BodySender,
@@ -15,8 +15,8 @@
 }
 
 impl FrameSender {
-    /// Frames for a request on a body. An entry that takes nothing for as long as
-    /// `patience` counts as gone, or it would hold a slot of the upstream.
+    /// Creates a sender for a response body. An entry that reads nothing for `send_timeout` is
+    /// considered gone, as it would otherwise occupy a slot of the upstream.
     pub fn new(tx: BodySender, request: RequestId, send_timeout: Duration) -> Self {
         Self {
             tx,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends a frame, waiting while the entry is behind.
+    /// Sends a frame. Waits while the buffer is full.
     pub async fn send(&mut self, part: Part) -> Result<(), Gone> {
         let frame = Frame {
             request: self.request,
@@ -40,32 +40,32 @@
             .unwrap_or(Err(Gone))
     }
 
-    /// Sends a refusal and ends the answer.
+    /// Sends a refusal and ends the response.
     pub async fn refuse(mut self, refusal: Refusal) {
-        // An entry that went away has no caller to tell.
+        // The send fails if the entry is gone, and then there is no caller to notify.
         let _ = self.send(Part::Refused(refusal)).await;
         self.tx.finish().await;
     }
 
-    /// Ends the answer as broken off.
+    /// Ends the response and reports that it broke off.
     pub async fn broken(mut self) {
         let _ = self.send(Part::Broken).await;
         self.tx.finish().await;
     }
 
-    /// Ends the answer as broken off by the upstream's end.
+    /// Ends the response and reports that the upstream process exited.
     pub async fn upstream_ended(mut self, exit_id: u32) {
         let _ = self.send(Part::UpstreamEnded { end: exit_id }).await;
         self.tx.finish().await;
     }
 
-    /// Ends the answer as whole.
+    /// Ends a complete response.
     pub async fn end(mut self, count: u64) {
         let _ = self.send(Part::End { count }).await;
         self.tx.finish().await;
     }
 
-    /// A handle that sees the entry go away.
+    /// Returns a handle that resolves when the entry is gone.
     pub fn watcher(&self) -> Watcher {
         self.tx.watcher()
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,8 @@
-//! The agent: the one way to its upstream.
+//! The agent: a proxy in front of one upstream that all requests and orders pass through.
 //!
-//! Every request to the upstream and every order to it passes through here. The
-//! agent holds its listening address exclusively, enforces the document, queues
-//! and refuses, records claims of non-idempotent calls before they run, and
-//! drains when it is told to stop or its host leaves.
+//! It has exclusive use of its listen address, applies the document, queues and refuses requests,
+//! and records claims of non-idempotent calls before they run. It drains when it receives a stop
+//! signal or its host is leaving.
 
 pub mod admission;
 mod attempt;
@@ -29,7 +28,7 @@
 use store::rows::desired_key;
 use tokio::sync::watch;
 
-/// Runs an agent until `stop` is given and the last request has ended.
+/// Runs an agent until `stop` is triggered and the last request has ended.
 pub async fn run(settings: Settings, stop: Stop) -> Result<(), StartError> {
     let Some(upstream) = settings.upstream.clone() else {
         return Err(StartError::Settings("an agent needs the field `upstream`"));
@@ -43,8 +42,8 @@
         tx,
     };
     let service = service.clone();
-    // Bound before anything else: while this process lives, paused or not, no
-    // second agent for this upstream can get past this line.
+    // Binds first, so that no second agent for this upstream can start while this process exists,
+    // even if it is paused.
     let addr = settings.listen;
     let listener = net::bind(addr).map_err(|e| StartError::Bind(addr, e))?;
     let node = Node::start(settings, Some(also), stop.clone());
@@ -69,15 +68,14 @@
     let server = tokio::spawn(server.run(listener, move |req| peer::serve(handler.clone(), req)));
     stop.stopped().await;
     drain(&agent, &serving).await;
-    // The server's task ends once its last connection has. All requests have
-    // ended; what is left is for their last frames to be taken, which a peer that
-    // is paused or cut off never does.
+    // The server task ends after its last connection. All requests have ended at this point, but a
+    // peer that is paused or disconnected might never read its last frames, so the wait is bounded.
     let _ = tokio::time::timeout(node.last_answers(), server).await;
     node.close_records().await;
     Ok(())
 }
 
-/// Takes no new work, lets running requests end, then lets the server end.
+/// Stops accepting requests, waits for running ones, then stops the server.
 async fn drain(agent: &Arc<Agent>, serving: &Stop) {
     emit(&Event::Stopping {
         why: "signal or leaving host",
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,14 +1,13 @@
-//! Keeping the engine as its row of the desired state says.
+//! Reconciles the engine with its row of the desired state.
 //!
-//! The agent takes orders from its row of the desired state and from nowhere else, and runs one
-//! at a time: drain, look at the engine until no change is under way, give the
-//! order with its number as the fencing number, and wait until the engine is as
-//! desired. An engine that fails this a few times is reported as broken, and
-//! stays so until there is another order or it comes right by itself.
+//! Orders come only from that row and are applied one at a time: drain, wait until no change is in
+//! progress, send the order with its number as the fencing token, and wait until the engine has the
+//! desired state. After a few failed attempts the engine is reported as broken. This is cleared by
+//! a new order, or when the engine reaches the desired state by itself.
 //!
-//! An order whose answer never came may still lie in a socket's buffer, also one
-//! of an agent that was killed in this slot before. So no order is given until
-//! the engine has answered and stood still for [`SETTLE`] since such a moment.
+//! An order that got no response may still be in a socket buffer, even if it was sent by an earlier
+//! agent that was killed. After such an order, or after a start, no order is sent until the engine
+//! has responded and its state hasn't changed for [`SETTLE_TIME`].
 
 use crate::state::{Agent, UpstreamState};
 use engine::{EngineState, Order};
@@ -21,24 +20,24 @@
 use tokio::sync::watch;
 use wire::Role;
 
-/// Time between looks at an upstream that is as desired.
+/// Poll interval for an upstream in its desired state.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between looks during a change.
+/// Poll interval during a change.
 const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest that a change may take before it counts as failed.
+/// Maximum duration of a change before it counts as failed.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long an engine must have stood still before an order, if another one may
-/// still be on its way to it.
+/// Time without a state change before an order may be sent, if an earlier one may still be in
+/// flight.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Tries of one order before the engine counts as broken.
+/// Maximum number of attempts of an order before the engine is reported as broken.
 const MAX_ORDER_ATTEMPTS: u32 = 3;
 
-/// Tends the upstream until the process ends.
+/// Reconciles the upstream until the process exits.
 pub async fn reconcile(agent: Arc<Agent>, mut desired: watch::Receiver<Vec<Row>>) {
     let mut attempts = OrderAttempts {
         order: 0,
         count: 0,
-        // An agent before this one may have left an order on its way.
+        // An earlier agent may have left an order in flight.
         may_be_in_flight: true,
     };
     let mut changed = agent.node.documents.watch();
@@ -55,7 +54,7 @@
                 set_upstream_state(&agent, true, None, None);
             }
         }
-        // Whichever comes first makes the next look.
+        // Reconciles after the poll interval, or earlier if the row or a document has changed.
         tokio::select! {
             () = tokio::time::sleep(around(POLL_INTERVAL)) => {}
             _ = desired.changed() => {}
@@ -64,7 +63,7 @@
     }
 }
 
-/// Counts the tries of one order.
+/// Counts the attempts of one order.
 struct OrderAttempts {
     order: u64,
     count: u32,
@@ -73,7 +72,7 @@
 }
 
 impl OrderAttempts {
-    /// Whether another try of an order may be made.
+    /// Whether the order may be attempted again.
     fn may_try(&mut self, order: u64) -> bool {
         if self.order != order {
             self.order = order;
@@ -90,7 +89,7 @@
     attempts: &mut OrderAttempts,
 ) {
     let Some(desired) = row.and_then(|r| decode::<Desired>(&r.value)) else {
-        set_upstream_state(agent, false, None, Some("no order yet".into()));
+        set_upstream_state(agent, false, None, Some("no order received yet".into()));
         return;
     };
     let state = match agent.engine.state().await {
@@ -112,8 +111,8 @@
         );
         return;
     }
-    // Nothing is cut off: what runs ends first. Past the bound the change waits
-    // for the next look, and the engine still takes nothing new.
+    // Running requests are not interrupted. If they exceed the drain bound, the change is retried
+    // at the next poll and the upstream stays closed to new requests.
     set_upstream_state(
         agent,
         false,
@@ -121,7 +120,10 @@
         Some(format!("draining for order {}", desired.order)),
     );
     if !wait_until_drained(agent, doc.doc.drain_bound).await {
-        set_unusable(agent, "requests still run past the drain bound".into());
+        set_unusable(
+            agent,
+            "requests are still running after the drain bound".into(),
+        );
         return;
     }
     attempts.count += 1;
@@ -135,7 +137,7 @@
     }
 }
 
-/// Makes a drained engine as desired.
+/// Brings a drained engine into the desired state.
 async fn apply_order(
     agent: &Agent,
     desired: &Desired,
@@ -159,7 +161,7 @@
         order: desired.order,
     });
     agent.prefixes.clear();
-    // Until the engine has answered, the order may be anywhere.
+    // Until the engine has responded, the order may be in flight.
     *may_be_in_flight = true;
     agent
         .engine
@@ -171,11 +173,11 @@
     if is_as_desired(&state, desired) {
         Ok(())
     } else {
-        Err("engine isn't as ordered".into())
+        Err("the engine's state differs from the order".into())
     }
 }
 
-/// Waits until the engine has stood still for [`SETTLE`].
+/// Waits until the state of the engine hasn't changed for [`SETTLE_TIME`].
 async fn wait_until_settled(agent: &Agent, first: EngineState) -> Result<EngineState, String> {
     let mut unchanged = (first, Instant::now());
     while unchanged.1.elapsed() < SETTLE_TIME {
@@ -203,7 +205,7 @@
     true
 }
 
-/// Waits until no change is under way at the engine.
+/// Waits until no change is in progress at the engine.
 async fn wait_until_stable(agent: &Agent) -> Result<EngineState, String> {
     let until = Instant::now() + CHANGE_TIMEOUT;
     loop {
@@ -212,14 +214,14 @@
             return Ok(state);
         }
         if Instant::now() >= until {
-            return Err("the change takes too long".into());
+            return Err("the engine's change timed out".into());
         }
         tokio::time::sleep(CHANGE_POLL_INTERVAL).await;
     }
 }
 
 async fn apply_cache_events(agent: &Agent, after: u64) -> u64 {
-    // Without events the agent's own view of the cache stands.
+    // Without events, the prefixes recorded by the agent remain in use.
     let Ok(events) = agent.engine.cache_events(after).await else {
         return after;
     };
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -1,4 +1,4 @@
-//! What an agent answers to its peers.
+//! HTTP interface of the agent for entries and operator commands.
 
 use crate::rates::Cost;
 use crate::run;
@@ -14,12 +14,12 @@
     RequestContext, decode, encode, encode_compact,
 };
 
-/// Frames that an entry may be behind before the upstream waits for it.
+/// Number of frames buffered for an entry before the upstream is slowed down.
 const MAX_BUFFERED_FRAMES: usize = 64;
-/// What a message adds to the body that it carries, at most.
+/// Maximum size of a message in addition to the body that it contains, in bytes.
 const MAX_MESSAGE_OVERHEAD: usize = 64 << 10;
 
-/// Answers a peer.
+/// Handles a request from a peer.
 pub async fn serve(agent: Arc<Agent>, req: Request<Incoming>) -> Response<Body> {
     let (head, body) = req.into_parts();
     let limits = &agent.node.settings.limits;
@@ -59,7 +59,7 @@
     Response::new(full(encode_compact(&answer)))
 }
 
-/// Expected time to the first byte of the answer to what the probe is about.
+/// Expected time until the first byte of the response to the probed request, in milliseconds.
 fn expected_first_byte_ms(agent: &Agent, p: &Probe) -> u64 {
     let Some(doc) = agent.doc() else { return 0 };
     let Some(id) = doc.doc.class_named(&p.class) else {
--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -1,7 +1,7 @@
-//! A call to a plain service.
+//! Runs calls to a plain service.
 //!
-//! The answer is read in whole before its first byte goes back, so that a
-//! caller gets all of it or a typed refusal.
+//! The whole response is read before its first byte is sent to the entry, so the caller receives
+//! either a complete response or a typed refusal.
 
 use crate::attempt::{Attempt, AttemptResult};
 use crate::claims::{ClaimResult, HeldClaim};
@@ -17,23 +17,23 @@
 use wire::{Part, PlainCall, Reason, Refusal};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Waits before a key in use is looked at again.
+/// Delays before a key that is in use is checked again.
 const KEY_IN_USE_DELAYS: [Duration; 3] = [
     Duration::from_millis(50),
     Duration::from_millis(100),
     Duration::from_millis(250),
 ];
-/// Largest piece of an answer in one frame.
+/// Maximum size of the body part in a frame, in bytes.
 const MAX_BODY_FRAME: usize = 64 << 10;
 
-/// An upstream's whole answer.
+/// A complete response of the upstream.
 struct UpstreamResponse {
     status: u16,
     content_type: Option<String>,
     body: Bytes,
 }
 
-/// Runs a plain call and sends its answer.
+/// Runs a plain call and sends its response.
 pub async fn call_plain(attempt: &mut Attempt<'_>, call: &PlainCall) -> AttemptResult {
     if attempt.class.idempotent {
         return match call_upstream(attempt, call).await {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Claims a call's key. A key whose first call still runs is waited for a little,
-/// so that a caller who repeats at once gets the answer and not `unknown`.
+/// Claims the key of a call. If the first call with this key is still running, waits briefly, so
+/// that an immediate repeat gets the response instead of `unknown`.
 async fn claim_call(attempt: &Attempt<'_>, call: &PlainCall) -> ClaimResult {
     let key = claim_key(
         &attempt.cx.service,
@@ -101,7 +101,7 @@
     claimed
 }
 
-/// The key under which a call is claimed: the caller's own, or the request's id.
+/// Key to claim: the idempotency key sent by the caller, or else the request id.
 fn idempotency_key(attempt: &Attempt<'_>, call: &PlainCall) -> String {
     match &call.key {
         Some(key) => format!("key/{key}"),
@@ -122,7 +122,7 @@
     }
 }
 
-/// Runs a call whose key is ours.
+/// Runs a call whose claim is held by this agent.
 async fn run_claimed(
     attempt: &mut Attempt<'_>,
     call: &PlainCall,
@@ -145,7 +145,7 @@
             attempt.agent.claims.finish(held, ClaimState::Released);
             AttemptResult::Refused(Refusal::not_run(Reason::UpstreamBroken))
         }
-        // The key stays held: nobody can tell whether the call took effect.
+        // The key stays held, as the call may have taken effect.
         Err(CallError::MaybeSent(why)) => {
             attempt.log_bad_answer(why);
             AttemptResult::Refused(Refusal::unknown(Reason::UpstreamBroken))
@@ -165,25 +165,27 @@
     }
 }
 
-/// Sends the call and reads the whole answer.
+/// Sends the call and reads the whole response.
 async fn call_upstream(
     attempt: &mut Attempt<'_>,
     call: &PlainCall,
 ) -> Result<UpstreamResponse, CallError> {
     let Some(req) = build_request(attempt, call) else {
-        return Err(CallError::NotSent("the call can't be put into HTTP".into()));
+        return Err(CallError::NotSent(
+            "the call is not a valid HTTP request".into(),
+        ));
     };
     let limits = &attempt.agent.node.settings.limits;
     let started_at = Instant::now();
     let response = async {
-        // Always a new connection: on a kept one that the upstream closes just
-        // now, nobody could tell whether the call was seen.
+        // Always uses a new connection. If the upstream closed a kept connection at this moment, it
+        // would be unknown whether it received the call.
         let answer = attempt.agent.plain.send_fresh(req).await?;
         read_response(answer, limits.body).await
     };
     let response = match tokio::time::timeout(limits.idle_timeout, response).await {
         Ok(response) => response?,
-        Err(_) => return Err(CallError::MaybeSent("no answer in time".into())),
+        Err(_) => return Err(CallError::MaybeSent("response timed out".into())),
     };
     attempt.agent.rates.record_plain(
         &attempt.class.name,
@@ -230,7 +232,7 @@
     req.body(full(call.body.clone())).ok()
 }
 
-/// Sends a whole answer back.
+/// Sends a complete response to the entry.
 async fn send_response(
     attempt: &mut Attempt<'_>,
     response: &UpstreamResponse,
--- a/crates/agent/src/prefixes.rs
+++ b/crates/agent/src/prefixes.rs
@@ -1,25 +1,25 @@
-//! Which prompt prefixes the engine has cached, as far as the agent knows.
+//! Tracks which prompt prefixes are probably in the engine's KV cache.
 //!
-//! The agent sees every prompt that its engine reads, and so knows before the
-//! engine's own events, which come late and with gaps. Events only take away
-//! and add what the agent couldn't see. A wrong guess costs time, nothing else.
+//! The agent sees every prompt, so it knows about new prefixes before the engine's cache events
+//! arrive, which are late and may have gaps. The events remove evicted prefixes and add what the
+//! agent couldn't see. A wrong guess only costs time.
 
 use engine::dialect::CacheEvents;
 use std::collections::VecDeque;
 use std::sync::Mutex;
 use wire::prefix;
 
-/// Prefixes that are kept in mind.
+/// Maximum number of tracked prefixes.
 const MAX_PREFIXES: usize = 8192;
 
-/// Known prefixes, least recently used first.
+/// Prefixes that are probably cached, least recently used first.
 #[derive(Debug, Default)]
 pub struct CachedPrefixes {
     known: Mutex<VecDeque<u64>>,
 }
 
 impl CachedPrefixes {
-    /// Bytes at a prompt's beginning that are likely cached.
+    /// Length of the prompt's longest prefix that is probably cached, in bytes.
     pub fn cached_len(&self, hashes: &[u64]) -> usize {
         let known = self.known.lock().expect("no panic while locked");
         hashes
@@ -28,7 +28,7 @@
             .map_or(0, prefix::length_at)
     }
 
-    /// Notes a prompt that the engine has read.
+    /// Adds the prefixes of a prompt that the engine has processed.
     pub fn add(&self, hashes: &[u64]) {
         let mut known = self.known.lock().expect("no panic while locked");
         for h in hashes {
@@ -41,7 +41,7 @@
         known.drain(..over);
     }
 
-    /// Takes the engine's events in.
+    /// Applies cache events of the engine.
     pub fn apply(&self, events: &CacheEvents) {
         for e in &events.events {
             if e.added {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Forgets everything, as after a change of model.
+    /// Removes all prefixes, for example after a model change.
     pub fn clear(&self) {
         self.known.lock().expect("no panic while locked").clear();
     }
--- a/crates/agent/src/rates.rs
+++ b/crates/agent/src/rates.rs
@@ -1,27 +1,28 @@
-//! Rates of the upstream, learned from its own answers.
+//! Estimates of the upstream's speed, measured from its responses.
 //!
-//! No figure is built in: until something was measured, the expected time is
-//! nothing, and a request is let through to be measured.
+//! There are no built-in defaults: without measurements the expected cost is zero, so the first
+//! requests are admitted and measured.
 
 use conf::Class;
 use std::sync::Mutex;
 use wire::Call;
 
-/// Weight of a new measurement in the running mean.
+/// Weight of a new sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Bytes of a prompt below which its reading time says nothing about the rate.
+/// Minimum prompt length used for the prefill rate, in bytes. For shorter prompts the duration says
+/// little about the rate.
 const MIN_PREFILL_BYTES: f64 = 256.0;
 
-/// What a request is expected to cost.
+/// Expected cost of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Cost {
-    /// Time from its start at the upstream to its first byte, in milliseconds.
+    /// Time from the start at the upstream to the first byte, in milliseconds.
     pub first_byte_ms: f64,
-    /// Time from its start to its end, in milliseconds.
+    /// Time from the start at the upstream to the end, in milliseconds.
     pub total_ms: f64,
 }
 
-/// A running mean.
+/// An exponential moving average.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct MovingAverage {
     value: Option<f64>,
@@ -45,14 +46,14 @@
     plain: Vec<(String, MovingAverage)>,
 }
 
-/// The learned rates.
+/// Estimated rates of one upstream.
 #[derive(Debug, Default)]
 pub struct Rates {
     estimates: Mutex<Estimates>,
 }
 
 impl Rates {
-    /// Expected cost of a call, of whose prompt `cached` bytes need no reading.
+    /// Expected cost of a call, where `cached_bytes` of the prompt need no prefill.
     pub fn cost(&self, class: &Class, call: &Call, cached_bytes: usize) -> Cost {
         match call {
             Call::Completion(c) => {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Expected cost of reading so many bytes and writing so many tokens.
+    /// Expected cost of the prefill of so many bytes and the decoding of so many tokens.
     pub fn completion_cost(&self, prefill_bytes: usize, tokens: u32) -> Cost {
         let estimates = self.estimates.lock().expect("no panic while locked");
         let first_byte_ms = estimates.prefill_ms_per_byte.get() * prefill_bytes as f64;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Learns from a prompt of so many uncached bytes that took so long to read.
+    /// Records the prefill of so many uncached bytes, and its duration.
     pub fn record_prefill(&self, bytes: usize, ms: f64) {
         let mut estimates = self.estimates.lock().expect("no panic while locked");
         estimates
@@ -94,7 +95,7 @@
             .add(ms / (bytes as f64).max(MIN_PREFILL_BYTES));
     }
 
-    /// Learns from so many tokens that took so long to write.
+    /// Records the decoding of so many tokens, and its duration.
     pub fn record_decode(&self, tokens: u32, ms: f64) {
         if tokens == 0 {
             return;
@@ -103,7 +104,7 @@
         estimates.decode_ms_per_token.add(ms / f64::from(tokens));
     }
 
-    /// Learns from a plain call of a class.
+    /// Records the duration of a plain call of a class.
     pub fn record_plain(&self, class: &str, ms: f64) {
         let mut estimates = self.estimates.lock().expect("no panic while locked");
         match estimates
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! One try of a request, from its receipt to its last frame.
+//! Serves an attempt, from receiving the request to sending the last frame.
 
 use crate::admission::{MIN_RETRY_MS, SlotGuard, SlotRequest};
 use crate::attempt::{Attempt, AttemptResult, AttemptTimes};
@@ -15,17 +15,17 @@
 use store::InForce;
 use wire::{AgentState, Call, Outcome, Part, Reason, Refusal, RequestContext, prefix};
 
-/// Longest wait for a document that the entry has and this agent hasn't.
+/// Maximum wait for a document version that the entry has and this agent hasn't.
 const MAX_DOC_WAIT: Duration = Duration::from_millis(500);
 
-/// Time after a connection broke in which its upstream's other sockets close too, if its
-/// process ends: another try waits for so long.
+/// Delay between a broken connection and the check of whether the upstream has exited. When the
+/// process exits, its other sockets close within this time.
 const EXIT_CHECK_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest wait for a look at the host list after a pause of this process.
+/// Maximum wait for a new host list after this process was paused.
 const MAX_HOST_LIST_WAIT: Duration = Duration::from_secs(1);
 
-/// Serves a try in a task of its own.
+/// Serves an attempt in its own task.
 pub async fn serve(agent: Arc<Agent>, cx: RequestContext, call: Call, tx: BodySender) {
     let _running = agent.node.begin();
     let received_at = Instant::now();
@@ -52,7 +52,7 @@
         Err(refusal) => AttemptResult::Refused(refusal),
     };
     let result = check_upstream_exit(&agent, result, received_at + times.queue).await;
-    // Noted before the last frame, so that who sees the answer finds the record.
+    // Recorded before the last frame, so that the record exists when the caller has the response.
     record_result(&agent, &cx, result, times, received_at);
     match result {
         AttemptResult::Answered(count) => frames.end(count).await,
@@ -63,8 +63,8 @@
     }
 }
 
-/// Tells an answer that its upstream broke off from one whose upstream has ended: what a
-/// request does to those that run it decides whether another is asked.
+/// Checks whether a response broke off because the upstream process exited. Such exits are counted
+/// against the request and decide whether it is sent to another upstream.
 async fn check_upstream_exit(
     agent: &Agent,
     result: AttemptResult,
@@ -89,21 +89,21 @@
     AttemptResult::UpstreamEnded(agent.exits.record_exit(&agent.node.id, sent_at))
 }
 
-/// Checks that this agent may serve the request, and by which document.
+/// Checks that this agent may serve the request, and returns the document to serve it under.
 async fn check_request(agent: &Agent, cx: &RequestContext) -> Result<InForce, Refusal> {
     if cx.service != agent.service {
         return Err(Refusal::not_run(Reason::UnknownService));
     }
     let documents = &agent.node.documents;
     documents.heard(&cx.service, cx.doc_version);
-    // A document that an entry goes by is in force here too, or nothing runs.
+    // Nothing runs until the document version used by the entry is in force here too.
     if !documents
         .reach(&cx.service, cx.doc_version, MAX_DOC_WAIT)
         .await
     {
         return Err(Refusal::not_run(Reason::NotReady));
     }
-    // After a pause of this process its host may have left meanwhile.
+    // If this process was paused, its host may have started to leave in the meantime.
     agent
         .node
         .leaving
@@ -119,8 +119,8 @@
 async fn admit_and_run(mut attempt: Attempt<'_>, call: Call) -> AttemptResult {
     let entry_gone = attempt.frames.watcher();
     let slot = tokio::select! {
-        // First: a request whose entry has given it up must not begin, as after
-        // a pause of this process.
+        // Checked first: a request that its entry has given up must not start, for example after
+        // this process was paused.
         biased;
         () = entry_gone.closed() => return AttemptResult::EntryGone,
         slot = admit(&attempt, &call) => slot,
@@ -142,11 +142,11 @@
     let node = &attempt.agent.node;
     let is_idempotent = attempt.class.idempotent;
     let result = tokio::select! {
-        // First: what has come is passed on, also at the end.
+        // Checked first: a result that is ready is sent even if the process is about to exit.
         biased;
         result = run(&mut attempt, &call) => result,
-        // A non-idempotent call that has begun goes on without its caller: its
-        // answer is kept for a repeat of the key.
+        // A non-idempotent call continues without its caller, as its response is stored for a
+        // repeat of the key.
         () = entry_gone.closed(), if is_idempotent => AttemptResult::EntryGone,
         () = node.ended() => AttemptResult::Refused(Refusal::unknown(Reason::ProcessEnds)),
     };
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,4 +1,4 @@
-//! What an agent is and knows.
+//! Shared state of an agent.
 
 use crate::admission::Admission;
 use crate::claims::Claims;
@@ -15,51 +15,51 @@
 use store::InForce;
 use wire::{AgentState, AgentStatus, Model, Reason, Role};
 
-/// How long after an agent began to stop an admitted call may still begin.
+/// Time after the begin of a stop during which an admitted call may still be started.
 const MAX_START_DELAY: Duration = Duration::from_secs(1);
 
-/// An agent.
+/// State of an agent.
 #[derive(Debug)]
 pub struct Agent {
-    /// What every process has.
+    /// State common to all processes.
     pub node: Arc<Node>,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The upstream's name.
+    /// Name of the upstream.
     pub upstream: String,
-    /// The upstream as a model engine.
+    /// Client for the upstream as a model engine.
     pub engine: Client,
-    /// The upstream as a plain service.
+    /// Connections to the upstream as a plain service.
     pub plain: Pool,
-    /// Who runs, waits, is refused.
+    /// Queue and slots of the upstream.
     pub admission: Arc<Admission>,
     /// Claims of non-idempotent calls.
     pub claims: Arc<Claims>,
-    /// Learned rates.
+    /// Estimated speed of the upstream.
     pub rates: Rates,
-    /// Prefixes that the engine has cached.
+    /// Prefixes that are probably in the engine's cache.
     pub prefixes: CachedPrefixes,
-    /// Ends of the upstream.
+    /// Observed exits of the upstream process.
     pub exits: UpstreamExits,
     stopping_since: OnceLock<Instant>,
     upstream_state: Mutex<UpstreamState>,
 }
 
-/// The upstream, as the agent last saw it.
+/// Last known state of the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamState {
-    /// Whether it may be given work.
+    /// Whether requests may be sent to it.
     pub usable: bool,
-    /// Its role.
+    /// Role of the engine.
     pub role: Role,
-    /// What it serves.
+    /// Model loaded by the engine.
     pub model: Option<Model>,
-    /// What it last did wrong.
+    /// Last error.
     pub fault: Option<String>,
 }
 
 impl Agent {
-    /// An agent that has yet to see its document and upstream.
+    /// Creates an agent without a document; its upstream is unusable until it has been checked.
     pub fn new(node: Arc<Node>, service: String, upstream: &UpstreamSettings) -> Arc<Self> {
         let timeout = node.settings.platform.timeout;
         let claims = Claims::start(node.platform.clone(), node.id.clone());
@@ -90,14 +90,14 @@
         self.node.documents.get(&self.service)
     }
 
-    /// This agent's upstream in a document.
+    /// The upstream of this agent in a document, if it is listed there.
     pub fn upstream_in<'a>(&self, doc: &'a Doc) -> Option<&'a Upstream> {
         Some(doc.upstream(doc.upstream_named(&self.upstream)?))
     }
 
-    /// Takes nothing new from now on, for good.
+    /// Stops admitting requests, permanently.
     pub fn begin_stop(&self) {
-        // A second call changes nothing: it left when it first did.
+        // Later calls have no effect: the time of the first one is kept.
         let _ = self.stopping_since.set(Instant::now());
         self.admission.close(Reason::Leaving);
     }
@@ -107,16 +107,15 @@
         self.stopping_since.get().is_some()
     }
 
-    /// Whether a call that was admitted before this process began to stop may
-    /// still begin at the upstream. It may not once the upstream has been
-    /// leaving for a while, however long its claim took.
+    /// Whether a call that was admitted before the stop may still be started at the upstream. This
+    /// is no longer allowed some time after the stop began, however long its claim took.
     pub fn may_start_call(&self) -> bool {
         self.stopping_since
             .get()
             .is_none_or(|at| at.elapsed() < MAX_START_DELAY)
     }
 
-    /// The upstream as last seen.
+    /// Last known state of the upstream.
     pub fn upstream_state(&self) -> UpstreamState {
         self.upstream_state
             .lock()
@@ -124,7 +123,7 @@
             .clone()
     }
 
-    /// Notes how the upstream stands, and opens or closes admission with it.
+    /// Updates the state of the upstream, and opens or closes admission accordingly.
     pub fn set_upstream_state(&self, state: UpstreamState) {
         let usable = state.usable;
         *self.upstream_state.lock().expect("no panic while locked") = state;
@@ -133,13 +132,14 @@
         } else {
             self.admission.close(Reason::NotReady);
         }
-        // Looked at last: `leave` may have come between, and must win.
+        // Checked last, as [`Self::begin_stop`] may have been called in the meantime and takes
+        // precedence.
         if self.is_stopping() {
             self.admission.close(Reason::Leaving);
         }
     }
 
-    /// Whether it takes work.
+    /// State of the agent, as reported to entries and operators.
     pub fn state(&self) -> AgentState {
         if self.is_stopping() || self.node.leaving.contains(&self.node.settings.host) {
             return AgentState::Leaving;
@@ -159,12 +159,12 @@
         }
     }
 
-    /// Whether it takes work.
+    /// Whether the agent accepts requests.
     pub fn is_ready(&self) -> bool {
         self.state() == AgentState::Ready
     }
 
-    /// Its status, for the operators' commands.
+    /// Status for operator commands.
     pub fn status(&self) -> AgentStatus {
         let (waiting, running) = self.admission.counts();
         let up = self.upstream_state();
--- a/crates/agent/tests/admission.rs
+++ b/crates/agent/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: order, limits, refusal, and that no slot is ever lost.
+//! Tests of admission: order, limits and refusals, and that no slot is lost.
 
 use agent::admission::{Admission, ClassUsage, PickInput, SlotRequest, TenantUsage, Waiter, pick};
 use agent::rates::Cost;
@@ -148,7 +148,7 @@
     let long = a.admit(ends_soon(cost(9e6))).await.unwrap_err();
     assert_eq!(long.reason, Reason::Leaving);
     assert!(long.retry_ms.is_some());
-    // Of unknown cost, with a deadline past the end; then with one before it.
+    // Unknown cost, first with a deadline after the end of the entry, then with one before it.
     let unknown = a.admit(ends_soon(cost(0.0))).await.unwrap_err();
     assert_eq!(unknown.reason, Reason::Leaving);
     let bounded = SlotRequest {
@@ -158,7 +158,7 @@
     let slot = a.admit(bounded).await.unwrap();
     drop(slot);
     let slot = a.admit(ends_soon(cost(10.0))).await.unwrap();
-    // What waits is looked at again as its turn comes.
+    // A waiting request is checked again when a slot becomes free.
     let waiter = {
         let (a, c) = (a.clone(), c.clone());
         tokio::spawn(async move {
@@ -203,7 +203,7 @@
     assert_eq!(a.counts(), (0, 0));
 }
 
-/// Waits that are dropped while their slot is on its way lose no slot.
+/// A wait that is cancelled while its slot is being delivered must not lose the slot.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn no_slot_is_lost_when_waits_are_cancelled_concurrently() {
     let a = Admission::new();
@@ -230,7 +230,7 @@
         }
     }
     for t in tasks {
-        // Some were aborted on purpose.
+        // Some tasks were aborted on purpose.
         let _ = t.await;
     }
     assert_eq!(a.counts(), (0, 0));
@@ -242,7 +242,7 @@
     assert!(two_slots.0.is_ok() && two_slots.1.is_ok());
 }
 
-/// The rule, written as plainly as can be: sort all, take the first.
+/// Reference implementation of the selection rule: sorts all waiters and takes the first.
 fn pick_by_sorting(p: &PickInput<'_>) -> Option<u64> {
     let free = |w: &&Waiter| p.tenants[w.tenant].running < p.tenants[w.tenant].limit;
     let mut all: Vec<&Waiter> = p.waiters.iter().filter(free).collect();
--- a/crates/agent/tests/claims.rs
+++ b/crates/agent/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: exactly one runner for a key, whatever the table service does.
+//! Tests that only one call runs per idempotency key, whatever faults the table service has.
 
 use agent::claims::{ClaimResult, Claims};
 use fakes::serve::Standin;
@@ -63,7 +63,7 @@
     };
     tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
-        .expect("the row gets there");
+        .expect("the row reaches the expected state in time");
 }
 
 #[tokio::test]
@@ -156,7 +156,7 @@
     ));
 }
 
-/// The write takes effect, its answer is lost, and the table stays cut off: the
+/// The write is applied, but its response is lost and the table service stays unreachable. The
 /// claim is given up, and later released so that the key can be used again.
 #[tokio::test]
 async fn a_claim_that_was_given_up_is_released() {
@@ -181,8 +181,8 @@
     ));
 }
 
-/// The write hangs and takes effect only after it was given up: the release has
-/// shut it out, or has found it.
+/// The write hangs and is applied only after the claim was given up. The release must either
+/// prevent the write or find its row.
 #[tokio::test]
 async fn a_claim_written_after_it_was_given_up_never_blocks_the_key() {
     let setup = setup().await;
@@ -227,8 +227,8 @@
     );
 }
 
-/// The same over a row that was released before: the lost write depends on that
-/// row's version, so the release must move it on.
+/// As above, but over a row that was released before. The lost write is conditional on the version
+/// of that row, so the release must change the version.
 #[tokio::test]
 async fn a_given_up_claim_over_a_released_row_never_blocks_the_key() {
     let setup = setup().await;
@@ -238,8 +238,8 @@
     };
     a.finish(held, ClaimState::Released);
     a.flush(WAIT_TIMEOUT).await;
-    // The first write is refused and shows the released row; the second, over
-    // that row, hangs until it is given up.
+    // The first write conflicts with the released row. The second one, over that row, hangs until
+    // the claim is given up.
     let probe = a.claim(KEY.into(), claim(2, 1, "a"), true);
     let (got, ()) = tokio::join!(probe, async {
         while setup.table.history().refused == 0 {
@@ -282,8 +282,8 @@
     assert!(commits <= 20, "{commits} transactions for 100 claims");
 }
 
-/// Ends share transactions, and one that was taken over meanwhile doesn't keep
-/// the others from being written.
+/// Final states share transactions. If one claim was taken over in the meantime, the others must
+/// still be written.
 #[tokio::test]
 async fn final_states_share_transactions_and_a_conflict_affects_no_other_claim() {
     let setup = setup().await;
--- a/crates/entry/src/accounting.rs
+++ b/crates/entry/src/accounting.rs
@@ -1,4 +1,4 @@
-//! The account of a request at its end: metrics, a log line, a record.
+//! Records ended requests as metrics, a log line and a record.
 
 use crate::state::Entry;
 use observe::log_line::now_ms;
@@ -7,38 +7,38 @@
 use std::time::{Duration, Instant};
 use wire::{Outcome, Reason, RequestId};
 
-/// A request at its end.
+/// A request that has ended.
 #[derive(Debug, Clone)]
 pub struct EndedRequest<'a> {
-    /// The request's id.
+    /// Request id.
     pub id: RequestId,
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: &'a str,
-    /// The class.
+    /// Name of the class.
     pub class: &'a str,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Why, if it wasn't answered.
+    /// Reason, if it wasn't answered.
     pub reason: Option<Reason>,
-    /// The upstream that was tried last.
+    /// The last upstream that was tried.
     pub upstream: Option<&'a str>,
-    /// Tries.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Time in agents' queues, in milliseconds.
+    /// Total time in the queues of agents, in milliseconds.
     pub queue_ms: u64,
-    /// Time to the first byte.
+    /// Time to the first byte of the response.
     pub first_byte: Option<Duration>,
-    /// When it was received.
+    /// When the request was received.
     pub received_at: Instant,
-    /// Its deadline.
+    /// Time limit for the start of the response.
     pub deadline: Duration,
-    /// Tokens that the caller has.
+    /// Number of tokens sent to the caller.
     pub count: u64,
 }
 
-/// Writes a request's account.
+/// Records a request that has ended.
 pub fn record(entry: &Entry, request: &EndedRequest<'_>) {
     let total = request.received_at.elapsed();
     update_metrics(entry, request, total);
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -1,8 +1,8 @@
-//! The callers' interface.
+//! HTTP interface for callers.
 //!
-//! The first part of the path names the service. Of a service with engines the
-//! rest is the common completion API; of a plain service it goes upstream as it
-//! is. Headers name the tenant, the class, the deadline and the key.
+//! The first path segment is the name of the service. For a service with engines the rest is a path
+//! of the completion API; for a plain service it is sent to the upstream unchanged. Headers contain
+//! the tenant, the class, the deadline and the idempotency key.
 
 use crate::accounting::{self, EndedRequest};
 use crate::completion::{self, Endpoint};
@@ -22,27 +22,27 @@
 use std::time::{Duration, Instant};
 use wire::{Call, Outcome, PlainCall, Reason, Refusal, RequestId};
 
-/// Header with the tenant's name.
+/// Header with the name of the tenant.
 const TENANT_HEADER: &str = "x-tenant";
-/// Header with the class's name.
+/// Header with the name of the class.
 const CLASS_HEADER: &str = "x-class";
 /// Header with the deadline in milliseconds.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the caller's key.
+/// Header with the idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
-/// Tenant of a request that names none.
+/// Tenant of requests without a tenant header.
 const DEFAULT_TENANT: &str = "anonymous";
-/// Class in records of a request whose class isn't known.
+/// Class recorded for requests whose class is unknown.
 const UNKNOWN_CLASS: &str = "-";
-/// Longest key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 128;
-/// Longest deadline that a caller may ask for.
+/// Maximum deadline that a caller may request.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
-/// Longest wait of a request for the service's first document.
+/// Maximum wait of a request for the first document of its service.
 const FIRST_DOC_WAIT: Duration = Duration::from_secs(2);
 
-/// Answers a caller. While the process stops its connection ends with the answer: a
-/// request that is on its way just as the server ends would get none.
+/// Handles a request of a caller. While the process is stopping, HTTP/1 connections are closed
+/// after the response: a request sent on them just as the server stops would get no response.
 pub async fn serve(entry: Arc<Entry>, req: Request<Incoming>) -> Response<Body> {
     let is_http1 = req.version() < Version::HTTP_2;
     let mut res = answer(entry.clone(), req).await;
@@ -79,8 +79,8 @@
     }
 }
 
-/// Notes a request that was refused before it was anywhere on its way. One that
-/// names no service of ours is in nobody's report.
+/// Records a request that was refused before it was sent to any agent. Requests for unknown
+/// services are not recorded.
 fn record_refused(
     entry: &Entry,
     head: &Parts,
@@ -119,7 +119,7 @@
     );
 }
 
-/// How a request is answered.
+/// How the response is sent.
 enum ResponseMode {
     Full(Endpoint),
     Stream(Endpoint),
@@ -137,7 +137,7 @@
     if !documents.knows(service) {
         return Err(Reason::UnknownService);
     }
-    // A process that just started serves only once it has a document.
+    // After the start of the process, requests wait until it has a document.
     if !documents.reach(service, 1, FIRST_DOC_WAIT).await {
         return Err(Reason::NotReady);
     }
@@ -181,7 +181,7 @@
     ))
 }
 
-/// Splits the path into the service and what follows, with its slash.
+/// Splits the path into the service name and the rest, which starts with a slash.
 fn split_path(head: &Parts) -> Result<(&str, &str), Reason> {
     let path = head
         .uri
@@ -226,7 +226,7 @@
     })
 }
 
-/// A header as text; an error if it isn't text.
+/// Returns a header as text, or an error if it isn't valid text.
 fn header_text<'a>(head: &'a Parts, name: &str) -> Result<Option<&'a str>, Reason> {
     let Some(value) = head.headers.get(name) else {
         return Ok(None);
@@ -234,9 +234,9 @@
     value.to_str().map(Some).map_err(|_| Reason::BadRequest)
 }
 
-/// The class: the one that owns the call's route, else the one that the caller
-/// names, else the document's first. A caller can't name another class for a
-/// call that has an owner: it might make a non-idempotent call repeatable.
+/// Selects the class that owns the route of the call, else the one named by the caller, else the
+/// first of the document. If a class owns the route, the caller can't name a different one: that
+/// could turn a non-idempotent call into a repeatable one.
 fn select_class<'a>(doc: &'a Doc, head: &Parts, path: &str) -> Result<&'a Class, Reason> {
     let named = match header_text(head, CLASS_HEADER)? {
         Some(name) => Some(doc.class_named(name).ok_or(Reason::UnknownClass)?),
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,23 +1,24 @@
-//! One try of a request, as its frames come in.
+//! Reads the frames of an attempt from an agent.
 
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use observe::{Event, emit};
 use wire::{Frame, FrameReader, Part, RequestId, StreamCheck};
 
-/// A try whose answer is under way. Dropping it cancels it at the agent.
+/// An attempt whose response is being received. Dropping it cancels it at the agent.
 pub struct Attempt {
     request: RequestId,
     upstream: String,
     body: Incoming,
     reader: FrameReader,
     check: StreamCheck,
-    /// Whether the agent has said that it left the queue.
+    /// Whether the agent has reported that the request left the queue.
     pub started: bool,
 }
 
 impl Attempt {
-    /// A try at an upstream. `delivered` is what the caller has from earlier tries.
+    /// Creates an attempt at an upstream. `delivered` is the number of tokens that the caller has
+    /// received from earlier attempts.
     pub fn new(request: RequestId, upstream: String, body: Incoming, delivered: u64) -> Self {
         Self {
             request,
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Reads the next frame's part; none if the answer breaks off or isn't ours.
+    /// Reads the part of the next frame. Returns `None` if the response breaks off or a frame is
+    /// invalid.
     pub async fn next_part(&mut self) -> Option<Part> {
         loop {
             match self.reader.pop() {
@@ -52,7 +54,7 @@
         match self.check.take(frame) {
             Ok(part) => Some(part),
             Err(e) => {
-                self.log_bad_answer(format!("{e}: it says {frame_request}"));
+                self.log_bad_answer(format!("{e}: the frame has request id {frame_request}"));
                 None
             }
         }
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -1,9 +1,9 @@
-//! The choice of an upstream, from fresh answers of a few agents.
+//! Selects an upstream by probing a few agents.
 //!
-//! Candidates are those that rendezvous hashing gives the prompt's
-//! beginning, where its KV cache likely is, and random ones, nearer
-//! availability zones first. Each is asked how long the answer's first byte
-//! would take; the soonest wins.
+//! The candidates are the upstream that rendezvous hashing assigns to the start of the prompt,
+//! which probably has it in its KV cache, and random ones, preferably in the same availability
+//! zone. Each candidate reports the expected time to the first byte, and the one with the lowest is
+//! selected.
 
 use crate::docs::sync_document;
 use crate::state::Entry;
@@ -16,38 +16,38 @@
 use tokio::sync::mpsc;
 use wire::{AgentState, PATH_PROBE, Probe, ProbeAnswer, prefix};
 
-/// Candidates that have affinity for the prompt's beginning.
+/// Number of candidates selected by prefix affinity.
 const AFFINITY_CANDIDATES: usize = 1;
-/// Prompts with at most so many prefixes (under 2 KiB) have affinity for none.
+/// Maximum number of prefixes of a prompt that is routed without affinity (under 2 KiB).
 const SHORT_PROMPT_PREFIXES: usize = 3;
-/// Candidates sampled at random.
+/// Number of candidates selected at random.
 const RANDOM_CANDIDATES: usize = 2;
-/// Upstreams of a service that an entry samples from.
+/// Number of upstreams of a service from which an entry selects random candidates.
 const SUBSET_SIZE: usize = 16;
-/// Candidates of the second round, if none of the first takes work.
+/// Number of candidates in the second round, if none of the first round accepts requests.
 const SECOND_ROUND_CANDIDATES: usize = 8;
-/// What another availability zone costs, in milliseconds. Zones are about a
-/// millisecond apart one way.
+/// Added cost of an upstream in another availability zone, in milliseconds. The latency between
+/// zones is about a millisecond each way.
 const OTHER_ZONE_COST_MS: u64 = 3;
-/// How long the others are waited for once a candidate that takes work has answered.
+/// How long to wait for the remaining probes once a candidate has accepted.
 const PROBE_GRACE: Duration = Duration::from_millis(4);
-/// What a full upstream costs over an idle one, in milliseconds: requests that
-/// run side by side slow each other even while there are free slots.
+/// Added cost of a fully loaded upstream compared to an idle one, in milliseconds: concurrent
+/// requests slow each other down even while slots are free.
 const FULL_LOAD_COST_MS: u64 = 20;
-/// Largest answer to a probe.
+/// Maximum size of a probe response, in bytes.
 const MAX_PROBE_ANSWER: usize = 4096;
 
-/// An upstream that was chosen.
+/// The selected upstream.
 #[derive(Debug, Clone)]
 pub struct ChosenUpstream {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub name: String,
-    /// The connection for requests to its agent.
+    /// Connection for requests to its agent.
     pub peer: Peer,
 }
 
-/// Chooses an upstream; none if no agent that was asked takes work. Upstreams
-/// that were tried before are left out.
+/// Selects an upstream, excluding those in `tried`. Returns `None` if no probed agent accepts
+/// requests.
 pub async fn choose(
     entry: &Arc<Entry>,
     doc: &Doc,
@@ -60,7 +60,7 @@
         let u = doc.upstream(*id);
         !tried.contains(&u.name) && !leaving.contains(&u.host)
     });
-    // A short prompt is read as fast anywhere, and needs no affinity.
+    // For a short prompt, prefill takes about the same time everywhere, so affinity isn't needed.
     let has_affinity = probe.prefixes.len() > SHORT_PROMPT_PREFIXES;
     let key = probe.prefixes.first().copied().filter(|_| has_affinity);
     let first = take_candidates(entry, doc, &mut remaining, key);
@@ -72,11 +72,11 @@
     probe_all(entry, doc, probe, remaining).await
 }
 
-/// Takes the candidates of the first round out of `left`.
+/// Removes the candidates of the first round from `remaining`.
 ///
-/// The one by affinity may be any upstream: all entries must agree on it. The sampled
-/// ones come from this entry's subset, so that at any size an entry keeps few
-/// connections warm and no mesh grows between all entries and all agents.
+/// The candidate by affinity may be any upstream, as all entries must select the same one. The
+/// random candidates come from the subset of this entry, so that the number of connections per
+/// entry stays small in a fleet of any size.
 fn take_candidates(
     entry: &Entry,
     doc: &Doc,
@@ -94,8 +94,8 @@
         let u = doc.upstream(*id);
         (u.zone == settings.zone, prefix::rank(seed, &u.name))
     });
-    // Nearer zones stand last. One of the sampled may be from anywhere in the
-    // subset, so that a busy zone isn't a trap.
+    // Upstreams of the same zone are at the end. One of the random candidates may come from any
+    // zone of the subset, so that requests can leave a zone that is overloaded.
     let near = remaining
         .iter()
         .filter(|id| doc.upstream(**id).zone == settings.zone)
@@ -112,7 +112,7 @@
     out
 }
 
-/// Answer of one candidate.
+/// Response of one candidate.
 struct ProbeResult {
     id: UpstreamId,
     answer: ProbeAnswer,
@@ -136,7 +136,7 @@
     drop(tx);
     let mut best: Option<(u64, ProbeResult)> = None;
     let mut until = now + entry.node.settings.limits.probe_timeout;
-    // Ends when all have answered or failed, or the time is up.
+    // Ends when all candidates have answered or failed, or after the timeout.
     while let Ok(Some(result)) = tokio::time::timeout_at(until.into(), rx.recv()).await {
         entry
             .node
@@ -145,7 +145,8 @@
         if result.answer.state != AgentState::Ready {
             continue;
         }
-        // The others get a little longer: a slow one must not hold back a request.
+        // The remaining candidates get a short extension, so that a slow one doesn't delay the
+        // request.
         until = until.min(Instant::now() + PROBE_GRACE);
         let is_other_zone = doc.upstream(result.id).zone != entry.node.settings.zone;
         let score = result.answer.wait_ms
@@ -171,8 +172,8 @@
     })
 }
 
-/// Asks one agent, to the end even if the choice is made before, so that a
-/// failing agent is noticed.
+/// Probes one agent. The probe continues after a candidate was selected, so that failing agents are
+/// detected.
 async fn probe_one(
     entry: Arc<Entry>,
     id: UpstreamId,
@@ -191,7 +192,7 @@
     {
         Some(answer) => {
             entry.health.succeeded(addr);
-            // The choice may have been made already.
+            // The send fails if a candidate was already selected.
             let _ = tx.send(ProbeResult { id, answer }).await;
         }
         None => entry.health.failed(addr, Instant::now()),
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -1,4 +1,4 @@
-//! The common completion API: completions and chat, streamed and not.
+//! The common completion API: text and chat completions, streamed or in one response.
 
 use crate::refusal;
 use crate::reply::set_request_id;
@@ -11,14 +11,14 @@
 use serde::{Deserialize, Serialize};
 use wire::{Completion, Part, RequestId};
 
-/// Tokens if the caller doesn't say.
+/// Maximum number of tokens if the request doesn't specify one.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Most tokens that a caller may ask for.
+/// Highest number of tokens that a request may specify.
 const MAX_TOKENS: u32 = 32_768;
-/// Chunks that a caller may be behind before the engine waits for it.
+/// Number of chunks buffered for a caller before the engine is slowed down.
 const MAX_BUFFERED_CHUNKS: usize = 64;
 
-/// Which form of the API a request uses.
+/// Endpoint of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/completions`.
@@ -30,9 +30,9 @@
 /// A parsed request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ParsedRequest {
-    /// What to run.
+    /// The completion to run.
     pub completion: Completion,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
@@ -84,7 +84,7 @@
     text: String,
 }
 
-/// Reads a request's body; none if it isn't of the API or asks for what we don't do.
+/// Parses the body of a request. Returns `None` if it is invalid or uses unsupported options.
 pub fn parse(endpoint: Endpoint, body: &[u8]) -> Option<ParsedRequest> {
     let (prompt, options) = match endpoint {
         Endpoint::Text => {
@@ -112,7 +112,7 @@
     })
 }
 
-/// Joins chat turns into a prompt.
+/// Joins chat messages into a prompt.
 fn join_messages(messages: &[Message]) -> Option<String> {
     let mut out = String::new();
     for m in messages {
@@ -187,7 +187,7 @@
     }
 }
 
-/// How answers of one request look.
+/// Formats the responses to one request.
 struct ResponseFormat {
     endpoint: Endpoint,
     id: String,
@@ -242,7 +242,7 @@
     }
 }
 
-/// Serves a completion whose answer is given in one piece.
+/// Serves a completion with a single response.
 pub async fn serve_full(endpoint: Endpoint, mut session: Session) -> Response<Body> {
     let (id, format) = (session.id(), ResponseFormat::new(endpoint, &session));
     let mut text = String::new();
@@ -253,15 +253,15 @@
                 let body = full(format.full_body(&text, count));
                 return response_of_type(body, "application/json", id);
             }
-            // Agents send nothing else for a completion; the check of frames saw to it.
+            // Agents send no other parts for a completion; the frames were checked on receipt.
             Ok(_) => {}
             Err(r) => return refusal::response(id, &r),
         }
     }
 }
 
-/// Serves a completion as a stream. The status waits for the first token, so
-/// that a refusal has a status of its own.
+/// Serves a completion as an event stream. The status is sent only with the first token, so that a
+/// refusal can have its own status code.
 pub async fn serve_stream(endpoint: Endpoint, mut session: Session) -> Response<Body> {
     let (id, format) = (session.id(), ResponseFormat::new(endpoint, &session));
     let first = match session.next().await {
@@ -276,14 +276,14 @@
     res
 }
 
-/// Passes tokens on until the end. A caller that hangs up drops the session,
-/// which cancels upstream.
+/// Forwards tokens until the end of the response. If the caller disconnects, the session is
+/// dropped, which cancels the request at the upstream.
 async fn forward_parts(format: ResponseFormat, mut session: Session, first: Part, tx: BodySender) {
     let caller_gone = tx.watcher();
     let mut next = Ok(first);
     loop {
         let sent = match next {
-            // A caller that takes nothing for that long would hold an engine's slot.
+            // A caller that reads nothing for this long would occupy a slot of the engine.
             Ok(Part::Token(text)) => {
                 let send = tx.send(format.chunk(&text, None));
                 tokio::select! {
@@ -297,7 +297,8 @@
             Ok(Part::End { count }) => {
                 let mut last = format.chunk("", Some(count)).to_vec();
                 last.extend_from_slice(b"data: [DONE]\n\n");
-                // A caller that went away at the very end misses nothing.
+                // The send fails if the caller has disconnected, and then the end marker isn't
+                // needed.
                 let _ = tx.send(Bytes::from(last)).await;
                 return tx.finish().await;
             }
@@ -307,7 +308,7 @@
                 event.extend_from_slice(&refusal::json(session.id(), &r));
                 event.extend_from_slice(b"\n\n");
                 let _ = tx.send(Bytes::from(event)).await;
-                // No `[DONE]`: the answer isn't whole, and doesn't look it.
+                // Ends without `[DONE]`, so that the caller can detect the incomplete response.
                 return tx.finish().await;
             }
         };
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -1,8 +1,9 @@
-//! Requests under which upstreams crash, counted by all entries together.
+//! Tracks requests during which upstreams crash, across all entries.
 //!
-//! What is counted and when work is held back is decided in [`resilience::crashes`]. Entries
-//! don't talk to each other: each writes the ends that its own requests saw as rows, and
-//! reads all such rows, so that what one has seen the others, and later ones, know.
+//! [`resilience::crashes`] decides which crashes count and when work is held back. Entries don't
+//! communicate directly: each writes the crashes that its own requests observed as rows of the
+//! table service and reads the rows of all, so that they are known to all entries, including ones
+//! started later.
 
 use observe::log_line::now_ms;
 use observe::{Event, emit};
@@ -16,37 +17,39 @@
 use tokio::sync::Notify;
 use wire::Call;
 
-/// Time between two reads of the rows: all entries know of a third end within the 3 s that
-/// they are given, for one read a second and entry.
+/// Interval between reads of the rows. All entries must know of a third crash within 3 s; this
+/// costs one read per second and entry.
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
-/// Rows that one read takes, and that one write has at most.
+/// Maximum number of rows in a read, and in a write.
 const MAX_ROWS_PER_READ: u32 = 512;
 const MAX_ROWS_PER_WRITE: usize = 32;
-/// Ends from which on an entry writes them: the rows are all that others hear.
+/// Number of crashes from which on an entry writes them: 1, as other entries learn of them only
+/// from the rows.
 const MIN_ENDS_TO_RECORD: usize = 1;
 
-/// Work under which upstreams end.
+/// Work during which upstreams crashed.
 #[derive(Debug)]
 pub struct Crashes {
     platform: HttpPlatform,
-    /// The entry's name, in rows.
+    /// Name of the entry, as stored in rows.
     entry: String,
     known: Mutex<resilience::Crashes>,
     write_needed: Notify,
 }
 
-/// How work may be sent.
+/// Whether and how work may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendDecision {
-    /// As any other.
+    /// Without restrictions.
     Allow,
-    /// Once, as this trial.
+    /// Once, as the trial with this number.
     Trial(usize),
     /// Not at all.
     HoldBack(Proof),
 }
 
-/// Hashes what a request asks for and who asks. Where its answer goes on is none of it.
+/// Hash of the service, the tenant and the content of a call. The position from which a completion
+/// resumes is not included.
 pub fn fingerprint(service: &str, tenant: &str, call: &Call) -> Fingerprint {
     let [head, path, body] = match call {
         Call::Completion(c) => [&b"completion"[..], b"", c.prompt.as_bytes()],
@@ -55,13 +58,13 @@
     Fingerprint::of([service.as_bytes(), tenant.as_bytes(), head, path, body])
 }
 
-/// Tells the end of the agent of an upstream from other ends.
+/// Identifier for the exit of an upstream's agent, distinct from those of other exits.
 pub fn agent_end_id(upstream: &str) -> u32 {
     Fingerprint::of([&b"agent"[..], upstream.as_bytes()]).0 as u32
 }
 
 impl Crashes {
-    /// None known yet.
+    /// Creates a tracker without known crashes.
     pub fn new(platform: HttpPlatform, entry: String) -> Self {
         Self {
             platform,
@@ -75,12 +78,12 @@
         self.known.lock().expect("no panic while locked")
     }
 
-    /// Whether nothing is suspected.
+    /// Whether no work is suspected.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
 
-    /// Notes that an upstream ended under work, and whether that was a trial.
+    /// Records that an upstream crashed while it ran the work, and whether that was a trial.
     pub fn record_end(&self, work: Fingerprint, end: u32, in_trial: bool) {
         let at = Instant::now();
         let word = Word::End {
@@ -92,7 +95,7 @@
         self.apply_report(word, Source::Own);
     }
 
-    /// Notes that work has had its whole answer.
+    /// Records that the work got a complete response.
     pub fn record_answer(&self, work: Fingerprint) {
         let at = Instant::now();
         self.apply_report(Word::Answer { work, at }, Source::Own);
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Whether and how work may be sent to an upstream now.
+    /// Decides whether and how the work may be sent to an upstream now.
     pub async fn decide(&self, work: Fingerprint) -> SendDecision {
         let now = Instant::now();
         let verdict = {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Gives back a trial that reached no upstream.
+    /// Returns a trial that didn't reach an upstream.
     pub fn return_trial(&self, work: Fingerprint, number: usize) {
         self.lock().trial_returned(work, number);
         let (platform, key) = (self.platform.clone(), trial_key(work.0, number));
@@ -140,11 +143,11 @@
         });
     }
 
-    /// Takes a trial for all entries; says whether it is this one's.
+    /// Reserves a trial among all entries. Returns whether this entry got it.
     async fn take_trial(&self, work: Fingerprint, number: usize) -> bool {
         let written = match number < TRIALS {
             true => self.write_trial(work, number).await,
-            // Each entry takes one of these a minute.
+            // These later trials aren't reserved: each entry makes one per minute.
             false => Ok(()),
         };
         let outcome = match &written {
@@ -177,8 +180,9 @@
         })
     }
 
-    /// Writes what this entry saw and reads what all saw, until the process ends. An outage
-    /// isn't an error: what is known stays, and what is due is written later.
+    /// Writes the crashes observed by this entry and reads those of all entries, until the process
+    /// exits. During an outage of the table service the known crashes are kept and pending writes
+    /// are retried.
     pub async fn sync(&self) {
         loop {
             self.write().await;
@@ -241,7 +245,7 @@
         self.remove_rows(old).await;
     }
 
-    /// Removes rows that are too old.
+    /// Deletes expired rows.
     async fn remove_rows(&self, keys: Vec<String>) {
         if keys.is_empty() {
             return;
@@ -254,12 +258,12 @@
         }
     }
 
-    /// Takes what a row tells; gives its key if it is too old.
+    /// Applies a row. Returns its key if it has expired.
     fn apply_row(&self, row: &Row) -> Option<String> {
         let (Some(key), Some(crash)) = (CrashKey::parse(&row.key), decode::<Crash>(&row.value))
         else {
             emit(&Event::Undecodable {
-                what: "row of a crash",
+                what: "crash row",
                 why: row.key.clone(),
             });
             return None;
@@ -295,7 +299,7 @@
     });
 }
 
-/// Removes the row of an end, and those of the work's trials.
+/// Deletions of the row of a crash and of the rows of the work's trials.
 fn removal_puts(record: &Record) -> Vec<Put> {
     let trials = (0..TRIALS).map(|number| trial_key(record.work.0, number));
     let keys = std::iter::once(crash_key(record.work.0, record.upstream)).chain(trials);
--- a/crates/entry/src/docs.rs
+++ b/crates/entry/src/docs.rs
@@ -1,5 +1,5 @@
-//! Documents between entries and agents: whoever is behind gets the newer one
-//! from the other, so that few need to ask the table service.
+//! Exchanges documents with agents: the side with the older version gets the newer one from the
+//! other, so that few processes have to read it from the table service.
 
 use crate::state::Entry;
 use hyper::Method;
@@ -8,10 +8,10 @@
 use store::docs::Offered;
 use wire::{DocText, PATH_DOC};
 
-/// Largest document message.
+/// Maximum size of a document message, in bytes.
 const MAX_DOC_MESSAGE: usize = conf::yaml::MAX_FILE + 4096;
 
-/// Evens out versions with an agent that has `theirs`.
+/// Fetches or sends the document if the version of the agent differs from that of this entry.
 pub async fn sync_document(entry: &Entry, peer: &Peer, service: &str, agent_version: u64) {
     let documents = &entry.node.documents;
     let own_version = documents.version(service);
@@ -28,7 +28,7 @@
     let got = peer
         .call(Method::GET, PATH_DOC, Vec::new(), MAX_DOC_MESSAGE, timeout)
         .await;
-    // Without it the next look at the table service brings the document.
+    // After a failure, the next poll of the table service gets the document.
     let Ok((status, body)) = got else { return };
     let Some(text) = status
         .is_success()
@@ -50,7 +50,7 @@
         return;
     };
     let timeout = entry.node.settings.limits.probe_timeout;
-    // An agent that doesn't get it refuses the request, and nothing is lost.
+    // After a failure, the agent refuses the request as not run, which is safe.
     let _ = peer
         .call(
             Method::POST,
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -1,18 +1,17 @@
-//! Agents that failed of late, noticed by use.
+//! Suspends agents after failed connections.
 //!
-//! An agent whose connection fails is left out for a while, which doubles with
-//! each failure that follows; see [`resilience::Health`].
+//! The suspension doubles with each subsequent failure; see [`resilience::Health`].
 
 use resilience::Health;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Instant;
 
-/// Weight of a failure: one is enough, since a probe of a dead agent takes its
-/// whole timeout and another agent is always asked beside it.
+/// Weight of a failure. One failure is sufficient for a suspension: a probe of a dead agent takes
+/// the whole probe timeout, and other agents are always probed at the same time.
 const FAILURE_WEIGHT: f64 = 1.0;
 
-/// Agents that failed, sorted by address.
+/// Health of agents that have failed, sorted by address.
 #[derive(Debug, Default)]
 pub struct AgentHealth {
     failed: Mutex<Vec<(SocketAddr, Health)>>,
@@ -23,14 +22,14 @@
         self.failed.lock().expect("no panic while locked")
     }
 
-    /// Whether an agent is left out at a time.
+    /// Whether an agent is suspended at `now`.
     pub fn is_suspended(&self, addr: SocketAddr, now: Instant) -> bool {
         let failed = self.lock();
         let at = failed.binary_search_by_key(&addr, |(a, _)| *a);
         at.is_ok_and(|at| failed[at].1.is_suspended(now))
     }
 
-    /// Notes that an agent answered.
+    /// Records a response of an agent.
     pub fn succeeded(&self, addr: SocketAddr) {
         let mut failed = self.lock();
         if let Ok(at) = failed.binary_search_by_key(&addr, |(a, _)| *a) {
@@ -38,7 +37,7 @@
         }
     }
 
-    /// Notes that an agent failed.
+    /// Records a failure of an agent.
     pub fn failed(&self, addr: SocketAddr, now: Instant) {
         let mut failed = self.lock();
         let at = match failed.binary_search_by_key(&addr, |(a, _)| *a) {
@@ -48,11 +47,11 @@
                 at
             }
         };
-        // Its probes in flight fail with it; the first has suspended it.
+        // Other probes in flight fail too, but the first failure has already suspended the agent.
         let _ = failed[at].1.failed(FAILURE_WEIGHT, now);
     }
 
-    /// Forgets agents that no document names any more.
+    /// Removes agents that are no longer listed in any document.
     pub fn keep_only(&self, listed: &[SocketAddr]) {
         self.lock()
             .retain(|(addr, _)| listed.binary_search(addr).is_ok());
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry: takes callers' requests and chooses an upstream for each.
+//! The entry: accepts requests from callers and selects an upstream for each.
 //!
-//! An entry keeps no map of everyone's load. It asks a few agents at the moment
-//! of choice, sends the request to the best, and goes on to another only after
-//! a refusal that says "not run", or for an idempotent request.
+//! An entry doesn't track the load of the fleet. It probes a few agents per request and sends the
+//! request to the best one. Another agent is tried only if the request was refused as "not run", or
+//! if the request is idempotent.
 
 mod accounting;
 mod api;
@@ -30,7 +30,7 @@
 use store::rows::lease_key;
 use tokio::sync::watch;
 
-/// Runs an entry until `stop` is given and the last request has ended.
+/// Runs an entry until `stop` is triggered and the last request has ended.
 pub async fn run(settings: Settings, stop: Stop) -> Result<(), StartError> {
     if settings.upstream.is_some() {
         return Err(StartError::Settings("an entry takes no field `upstream`"));
@@ -69,16 +69,15 @@
     emit(&Event::Stopping {
         why: "signal or leaving host",
     });
-    // Health says no at once; callers that the balancer still sends are served
-    // until it has noticed.
+    // The health check fails from now on. Requests that the load balancer still sends until it
+    // notices are served.
     tokio::time::sleep(limits.linger).await;
     serving.stop();
-    // The server's task ends once its last connection has, which may bring one more
-    // request until then.
+    // The server task ends after its last connection, which may still deliver another request.
     let unfinished = node.drained(&mut server).await;
     emit(&Event::Stopped { unfinished });
-    // A panic in a task was reported already. A caller that never takes its answer
-    // doesn't hold the process for ever.
+    // A panic of the task was already reported. The wait is bounded, as a caller might never read
+    // its response.
     if !server.is_finished() {
         let _ = tokio::time::timeout(node.last_answers(), server).await;
     }
@@ -111,11 +110,11 @@
         .collect()
 }
 
-/// Forgets agents that no document names any more, at each change of a document.
+/// Removes agents that are no longer listed in any document, whenever a document changes.
 async fn remove_unlisted_agents(entry: Arc<Entry>) {
     let documents = &entry.node.documents;
     let mut changed = documents.watch();
-    // The sender lives in `documents`, so this goes on until the process ends.
+    // The sender is owned by `documents`, so the loop runs until the process exits.
     while changed.changed().await.is_ok() {
         let docs = documents
             .services()
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,16 +1,16 @@
-//! Kept connections to agents, sorted by address.
+//! Connections to agents, kept open between requests.
 //!
-//! Each agent has two: one for control, which is counted, and one for requests,
-//! so that a long prompt on its way holds back no probe.
+//! There are two per agent: a metered one for control messages and one for requests, so that
+//! sending a long prompt doesn't delay probes.
 
 use net::{Meter, Peer};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::{Duration, Instant};
 
-/// How long the connections to an agent are kept without use.
+/// Time after which unused connections to an agent are closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between looks for connections without use.
+/// Interval between checks for unused connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The connections to one agent.
@@ -38,7 +38,7 @@
     }
 }
 
-/// The connections to all agents that were needed so far.
+/// Connections to agents, opened on first use and sorted by address.
 #[derive(Debug)]
 pub struct Peers {
     timeout: Duration,
@@ -47,7 +47,8 @@
 }
 
 impl Peers {
-    /// No connections yet; `timeout` bounds opening one, `meter` counts control.
+    /// Creates an empty set. `timeout` limits connecting, and `meter` counts the bytes of control
+    /// connections.
     pub fn new(timeout: Duration, meter: Meter) -> Self {
         Self {
             timeout,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The connections to the agent at an address.
+    /// Returns the connections to the agent at an address.
     pub fn get(&self, addr: SocketAddr) -> AgentConnections {
         {
             let connections = self.connections.read().expect("no panic while locked");
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Closes connections without use, again and again. A request that runs on
-    /// one keeps it open to its end.
+    /// Closes unused connections periodically. A running request keeps its connection open until it
+    /// ends.
     pub async fn close_idle(&self) {
         loop {
             tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Closes connections to agents that no document names any more.
+    /// Closes connections to agents that are no longer listed in any document.
     pub fn keep_only(&self, listed: &[SocketAddr]) {
         let mut connections = self.connections.write().expect("no panic while locked");
         connections.retain(|l| listed.binary_search(&l.addr()).is_ok());
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Serves calls to plain services.
 
 use crate::refusal;
 use crate::reply::set_request_id;
@@ -8,11 +8,11 @@
 use net::{Body, full};
 use wire::{Part, Reason, Refusal};
 
-/// Says that an answer is the one kept from an earlier request with the same key.
+/// Header of a response that was stored for an earlier request with the same idempotency key.
 const REPLAYED_HEADER: &str = "idempotent-replayed";
 
-/// Serves a plain call. The whole answer is read before its first byte goes
-/// out, so that a try that breaks off can be made again.
+/// Serves a plain call. The whole response is read before its first byte is sent, so that an
+/// attempt that breaks off can be retried.
 pub async fn serve(mut session: Session) -> Response<Body> {
     let id = session.id();
     let mut res = Response::new(());
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals to callers: typed JSON, a status, and when to come back.
+//! Refusals sent to callers: a status code, a JSON body and a retry delay.
 
 use crate::reply::set_request_id;
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -7,29 +7,29 @@
 use serde::Serialize;
 use wire::{Outcome, Reason, Refusal, RequestId};
 
-/// Body of a refusal.
+/// JSON body of a refusal.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody<'a> {
-    /// The refusal.
+    /// Details of the refusal.
     pub error: ErrorDetail<'a>,
 }
 
-/// What a refusal says.
+/// Details of a refusal.
 #[derive(Debug, Serialize)]
 pub struct ErrorDetail<'a> {
     /// `not-run` or `unknown`.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// The same in words.
+    /// Description of the reason.
     pub message: &'a str,
-    /// The request's id, as in logs and records.
+    /// Request id, as in logs and records.
     pub request_id: String,
-    /// When another try may help, in milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The JSON text of a refusal.
+/// JSON body of a refusal.
 pub fn json(id: RequestId, refusal: &Refusal) -> Vec<u8> {
     let error = ErrorDetail {
         outcome: refusal.outcome,
@@ -41,14 +41,14 @@
     serde_json::to_vec(&ErrorBody { error }).expect("refusals always encode")
 }
 
-/// The answer to a refused request.
+/// HTTP response for a refused request.
 pub fn response(id: RequestId, refusal: &Refusal) -> Response<Body> {
     let mut res = Response::new(full(json(id, refusal)));
     *res.status_mut() = status(refusal);
     let headers = res.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(ms) = refusal.retry_ms {
-        // The header counts in whole seconds; the body has the exact time.
+        // The header is in whole seconds; the body has the exact value.
         headers.insert(RETRY_AFTER, HeaderValue::from(ms.div_ceil(1000)));
     }
     set_request_id(&mut res, id);
@@ -63,7 +63,7 @@
         };
     }
     match refusal.reason {
-        // The caller's own retries would end the next upstream: 400 is final.
+        // Status 400 is final: a retry by the caller would crash the next upstream.
         Reason::BadRequest | Reason::UnknownClass | Reason::CrashesUpstreams => {
             StatusCode::BAD_REQUEST
         }
@@ -101,7 +101,8 @@
     }
 }
 
-/// Whether another upstream may help. What the caller did wrong is wrong there too.
+/// Whether another upstream may accept the request. Errors of the caller would be refused there
+/// too.
 pub fn may_retry_elsewhere(reason: Reason) -> bool {
     match reason {
         Reason::QueueFull
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,4 +1,4 @@
-//! A request on its way: tries, retries, resumes, and its account.
+//! Runs a request until its response is complete: attempts, retries, resumption and accounting.
 
 use crate::accounting::{self, EndedRequest};
 use crate::attempt::Attempt;
@@ -19,48 +19,48 @@
     Call, Outcome, PATH_RUN, Part, Probe, Reason, Refusal, RequestContext, RequestId, prefix,
 };
 
-/// What an agent may take longer than was agreed before it counts as lost.
+/// Time beyond the agreed limits that an agent has before it is considered lost.
 const AGENT_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
-/// When a caller may come back if no upstream takes work, in milliseconds.
+/// Retry delay sent to callers if no upstream accepts the request, in milliseconds.
 const NO_UPSTREAM_RETRY_MS: u64 = 1000;
 
 /// A request with its class and document.
 #[derive(Debug, Clone)]
 pub struct RoutedRequest {
-    /// The request's id.
+    /// Request id.
     pub id: RequestId,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The document that it is served by.
+    /// The document that it is served under.
     pub doc: InForce,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// Time until the answer must begin, from the receipt.
+    /// Time limit for the start of the response, counted from receiving the request.
     pub deadline: Duration,
-    /// What to run.
+    /// The call to run.
     pub call: Call,
 }
 
-/// A request on its way. Dropping it cancels what can be cancelled.
+/// A request that is being served. Dropping it cancels the current attempt where possible.
 pub struct Session {
     entry: Arc<Entry>,
     req: RoutedRequest,
     received_at: Instant,
     current: Option<Attempt>,
-    /// Upstreams that aren't tried again.
+    /// Upstreams that must not be tried again.
     tried: Vec<String>,
     attempts: u32,
-    /// Tries that ended with their agent's process, by no fault of the request.
+    /// Attempts that ended because their agent stopped. They don't count against the request.
     interrupted_attempts: u32,
-    /// The upstream that was tried last.
+    /// The last upstream that was tried.
     upstream: Option<String>,
-    /// Whether every try so far came back as not run.
+    /// Whether all attempts so far were reported as not run.
     none_has_run: bool,
-    /// The last refusal of an agent, to be passed on if no other serves.
+    /// The last refusal by an agent, returned if no other agent serves the request.
     last_refusal: Option<Refusal>,
-    /// The trial that it is, of work that is held back.
+    /// Number of the trial, if the request is a trial of work that is held back.
     trial: Option<usize>,
-    /// Tokens that the caller has.
+    /// Number of tokens sent to the caller.
     delivered: u64,
     queue_ms: u64,
     first_byte: Option<Duration>,
@@ -68,19 +68,20 @@
     _running: RunningGuard,
 }
 
-/// How a try went on.
+/// Progress of an attempt.
 enum Step {
     Part(Part),
     Refused(Refusal),
-    /// The try broke off; the upstream may have run the request.
+    /// The attempt broke off; the upstream may have run the request.
     Lost(Reason),
-    /// The same, as the upstream or its agent has ended; the number tells this end from
-    /// others.
+    /// The attempt broke off because the upstream or its agent exited; contains an identifier of
+    /// this exit.
     Ended(Reason, u32),
 }
 
 impl Session {
-    /// A request that was received at `since` and counts as running since then.
+    /// Creates a session for a request received at `received_at`. `running` counts it among
+    /// the running requests.
     pub fn new(
         entry: Arc<Entry>,
         req: RoutedRequest,
@@ -108,34 +109,34 @@
         }
     }
 
-    /// The request's id.
+    /// Request id.
     pub fn id(&self) -> RequestId {
         self.req.id
     }
 
-    /// Longest that a caller may leave a piece of its answer untaken.
+    /// Maximum time to wait for the caller to read a part of the response.
     pub fn send_timeout(&self) -> Duration {
         self.entry.node.settings.limits.idle_timeout
     }
 
-    /// The service.
+    /// Name of the service.
     pub fn service(&self) -> &str {
         &self.req.doc.doc.service
     }
 
-    /// Waits for the next part of the answer: tokens and an end, or a head, a
-    /// body and an end. A second head means that the answer begins anew.
+    /// Waits for the next part of the response: tokens and an end, or a head, body parts and an
+    /// end. A second head means that the response starts over.
     pub async fn next(&mut self) -> Result<Part, Refusal> {
         let node = self.entry.node.clone();
         tokio::select! {
-            // First: what has come is passed on, also at the end.
+            // Checked first: a part that is ready is sent even if the process is about to exit.
             biased;
             next = self.next_from_attempts() => next,
             () = node.ended() => self.end_by_shutdown(),
         }
     }
 
-    /// Ends an answer that its process can't end, in a way that shows.
+    /// Ends the response because the process exits, with a refusal unless all tokens were sent.
     fn end_by_shutdown(&mut self) -> Result<Part, Refusal> {
         self.current = None;
         if self.has_all_tokens() {
@@ -144,12 +145,12 @@
         if self.attempts == 0 {
             return Err(self.give_up_for(Reason::ProcessEnds));
         }
-        // A try that was on its way may have run.
+        // An attempt that was being sent may have run.
         self.none_has_run = false;
         Err(self.give_up(Refusal::unknown(Reason::ProcessEnds)))
     }
 
-    /// Waits until the process has no more time for running requests.
+    /// Waits until the time for running requests is over in a stopping process.
     pub async fn process_ended(&self) {
         self.entry.node.ended().await;
     }
@@ -183,13 +184,13 @@
                 }
             }
             if self.has_all_tokens() {
-                // It broke after its last token: there is nothing to resume.
+                // The attempt broke off after its last token, so there is nothing to resume.
                 return Ok(self.finish());
             }
         }
     }
 
-    /// The end of an answer whose last token the caller has.
+    /// Ends a response whose last token was sent to the caller.
     fn finish(&mut self) -> Part {
         self.record(Outcome::Answered, None);
         Part::End {
@@ -197,19 +198,19 @@
         }
     }
 
-    /// What it asks for and who asks.
+    /// Hash of the service, the tenant and the call.
     fn fingerprint(&self) -> Fingerprint {
         crashes::fingerprint(self.service(), &self.req.tenant, &self.req.call)
     }
 
-    /// Notes the whole answer: what upstreams did before wasn't by it.
+    /// Records a complete response, which clears the work of earlier crashes.
     fn clear_suspicion(&self) {
         if !self.entry.crashes.is_empty() {
             self.entry.crashes.record_answer(self.fingerprint());
         }
     }
 
-    /// Refuses it if it is held back, as upstreams ended under it.
+    /// Refuses the request if its work is held back because upstreams crashed while running it.
     async fn check_crashes(&mut self) -> Result<(), Refusal> {
         if self.entry.crashes.is_empty() {
             return Ok(());
@@ -228,7 +229,7 @@
         Err(self.give_up(held))
     }
 
-    /// Opens the next try.
+    /// Starts the next attempt.
     async fn start_attempt(&mut self) -> Result<(), Refusal> {
         self.check_crashes().await?;
         let counted = self.attempts - self.interrupted_attempts;
@@ -248,15 +249,15 @@
         self.send(chosen).await
     }
 
-    /// Gives up with the last agent's refusal, which says more to the caller, or
-    /// else for a reason of the entry's own.
+    /// Gives up with the last refusal by an agent, which is more informative, or else with
+    /// `reason`.
     fn give_up_for(&mut self, reason: Reason) -> Refusal {
         let own = Refusal::not_run(reason).retry_in(NO_UPSTREAM_RETRY_MS);
         let refusal = self.last_refusal.unwrap_or(own);
         self.give_up(refusal)
     }
 
-    /// Whether a broken completion already has as many tokens as were asked for.
+    /// Whether a completion that broke off already has the requested number of tokens.
     fn has_all_tokens(&self) -> bool {
         match &self.req.call {
             Call::Completion(c) => {
@@ -266,8 +267,8 @@
         }
     }
 
-    /// What is left of the deadline. A stream that goes on elsewhere has met
-    /// its deadline already, and gets the class's time once more.
+    /// Time left until the deadline. A resumed stream has already met its deadline and gets the
+    /// default deadline of its class again.
     fn deadline_left(&self) -> Duration {
         if self.delivered > 0 {
             return self.req.class.deadline;
@@ -275,7 +276,7 @@
         self.req.deadline.saturating_sub(self.received_at.elapsed())
     }
 
-    /// What is left of the process's time, if it is stopping.
+    /// Time left until the process exits, if it is stopping.
     fn process_left(&self) -> Option<Duration> {
         let ends = self.entry.node.ends()?;
         Some(ends.saturating_duration_since(Instant::now()))
@@ -324,7 +325,7 @@
                 self.current = Some(attempt);
                 Ok(())
             }
-            // The agent turned the message itself down, before it looked at the call.
+            // The agent rejected the message itself, before it looked at the call.
             Ok(Ok(_)) => self.handle_refusal(Refusal::not_run(Reason::NotReady)),
             Ok(Err(CallError::NotSent(_))) => {
                 self.entry.health.failed(chosen.peer.addr(), Instant::now());
@@ -337,7 +338,7 @@
         }
     }
 
-    /// Reads the next part of the current try.
+    /// Reads the next part of the current attempt.
     async fn read_step(&mut self) -> Step {
         let deadline_left = self.deadline_left();
         let idle = self.entry.node.settings.limits.idle_timeout;
@@ -362,8 +363,8 @@
         }
     }
 
-    /// The connection to the agent broke: what ends agents is held against the request as
-    /// what ends upstreams is.
+    /// Handles a broken connection to the agent. If the agent has exited, this counts as a crash
+    /// caused by the request, like an exit of the upstream.
     async fn agent_connection_broke(&self) -> Step {
         let name = self.upstream.as_deref().unwrap_or_default();
         let doc = &self.req.doc.doc;
@@ -378,12 +379,12 @@
         }
     }
 
-    /// A try was refused: another may be made if no upstream has run it.
+    /// Handles a refused attempt. Another one may follow if no upstream has run the request.
     fn handle_refusal(&mut self, refusal: Refusal) -> Result<(), Refusal> {
         self.current = None;
         if refusal.reason == Reason::ProcessEnds {
-            // The agent stopped in the middle: another may go on with it, or that one
-            // once it is back.
+            // The agent stopped during the attempt. The request may continue at another agent, or
+            // at this one after its restart.
             self.interrupted_attempts += 1;
             self.tried.pop();
             return self.handle_loss(Reason::ProcessEnds);
@@ -395,7 +396,7 @@
         Err(self.give_up(refusal))
     }
 
-    /// A try broke off: another may be made only for an idempotent request.
+    /// Handles an attempt that broke off. Another one may follow only for an idempotent request.
     fn handle_loss(&mut self, reason: Reason) -> Result<(), Refusal> {
         self.current = None;
         self.none_has_run = false;
@@ -406,7 +407,7 @@
         Err(self.give_up(Refusal::unknown(reason)))
     }
 
-    /// The final refusal. It says "not run" only if that is true of every try.
+    /// Returns the final refusal. It is "not run" only if that holds for all attempts.
     fn give_up(&mut self, mut refusal: Refusal) -> Refusal {
         if !self.none_has_run {
             refusal.outcome = Outcome::Unknown;
@@ -417,7 +418,7 @@
         refusal
     }
 
-    /// Notes what became of the request, once.
+    /// Records the outcome of the request, once.
     fn record(&mut self, outcome: Outcome, reason: Option<Reason>) {
         if std::mem::replace(&mut self.is_recorded, true) {
             return;
@@ -444,7 +445,8 @@
 }
 
 impl Drop for Session {
-    /// A session that is dropped before its end has lost its caller or its process.
+    /// Records a session that is dropped before its end: its caller has disconnected or its process
+    /// has exited.
     fn drop(&mut self) {
         let outcome = if self.attempts == 0 {
             Outcome::NotRun
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What an entry is and knows.
+//! Shared state of an entry.
 
 use crate::crashes::Crashes;
 use crate::health::AgentHealth;
@@ -8,30 +8,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Retries that each request earns, so that an overload isn't made worse by them.
+/// Retries allowed per request. The limit keeps retries from worsening an overload.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// Retries that each window allows besides: a few requests must be able to go
-/// elsewhere however little load there is.
+/// Additional retries allowed per window, so that a few requests can be retried even at low load.
 const RETRIES_PER_WINDOW: f64 = 50.0;
-/// Window over which both count: the time in which a failing upstream is left out.
+/// Window for both limits: the time within which a failing upstream is suspended.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// An entry.
+/// State of an entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// What every process has.
+    /// State common to all processes.
     pub node: Arc<Node>,
     /// Connections to agents.
     pub peers: Peers,
-    /// Agents that failed of late.
+    /// Agents that failed recently.
     pub health: AgentHealth,
-    /// Work under which upstreams end.
+    /// Work during which upstreams crashed.
     pub crashes: Crashes,
     retry_budget: Mutex<Budget>,
 }
 
 impl Entry {
-    /// An entry that has yet to see its documents.
+    /// Creates an entry without documents.
     pub fn new(node: Arc<Node>) -> Arc<Self> {
         let timeout = node.settings.limits.probe_timeout;
         Arc::new(Self {
@@ -48,20 +47,20 @@
         })
     }
 
-    /// Notes a request, which earns a part of a retry.
+    /// Adds a request to the retry budget.
     pub fn earn_retry(&self) {
         let mut retry_budget = self.retry_budget.lock().expect("no panic while locked");
         retry_budget.earn(Instant::now());
     }
 
-    /// Takes a retry, if there is one.
+    /// Takes a retry from the budget. Returns whether there was one.
     pub fn spend_retry(&self) -> bool {
         let mut retry_budget = self.retry_budget.lock().expect("no panic while locked");
         retry_budget.spend(Instant::now())
     }
 
-    /// Whether it takes requests: it isn't stopping, and has a document for
-    /// each of its services.
+    /// Whether the entry accepts requests: it isn't stopping and has a document for each of its
+    /// services.
     pub fn is_ready(&self) -> bool {
         let documents = &self.node.documents;
         !self.node.stop.is_stopped()
--- a/crates/entry/tests/health.rs
+++ b/crates/entry/tests/health.rs
@@ -1,10 +1,11 @@
-//! Agents that failed are left out, for longer each time, and come back.
+//! Tests that failed agents are suspended, for longer after repeated failures, and used again
+//! later.
 
 use entry::health::AgentHealth;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Longer than the first time for which an agent is left out.
+/// Slightly longer than the first suspension.
 const AFTER_FIRST_SUSPENSION: Duration = Duration::from_millis(501);
 
 fn addr(port: u16) -> SocketAddr {
@@ -26,7 +27,7 @@
     let health = AgentHealth::default();
     let now = Instant::now();
     health.failed(addr(1), now);
-    // A probe that was in flight fails too, which changes nothing.
+    // A probe that was in flight fails as well, which changes nothing.
     health.failed(addr(1), now);
     let again = now + AFTER_FIRST_SUSPENSION;
     assert!(!health.is_suspended(addr(1), again));
