--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/attempt.rs
@@ -1,6 +1,6 @@
-//! A try that is being served, and how it ended.
+//! An attempt to serve a request, and its result.
 
-use crate::frames::Frames;
+use crate::frames::FrameSender;
 use crate::state::Agent;
 use conf::Class;
 use observe::{Event, emit};
@@ -9,56 +9,59 @@
 use store::InForce;
 use wire::{Refusal, RequestContext};
 
-/// How a try ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// The whole answer was sent: so many tokens or bytes.
+pub enum AttemptResult {
+    /// The complete response was sent; contains the number of tokens or bytes.
     Answered(u64),
-    /// It was refused.
+    /// The attempt was refused.
     Refused(Refusal),
-    /// The answer broke off.
+    /// The response broke off.
     Broken,
-    /// The same, as the upstream has ended; the number tells this end from others.
+    /// The response broke off because the upstream process exited; contains an identifier of this
+    /// exit.
     UpstreamEnded(u32),
-    /// The entry went away.
-    Gone,
+    /// The entry closed the connection.
+    EntryGone,
 }
 
-/// Times of a try.
+/// Durations measured during an attempt.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Times {
-    /// In the queue.
+pub struct AttemptTimes {
+    /// Time in the queue.
     pub queue: Duration,
-    /// From receipt to the first byte.
-    pub first: Option<Duration>,
+    /// Time from receiving the request to the first byte of the response.
+    pub first_byte: Option<Duration>,
 }
 
-/// A try that is being served.
-pub struct Try<'a> {
-    /// The agent.
+/// An attempt that is being served.
+pub struct Attempt<'a> {
+    /// The agent that serves it.
     pub agent: &'a Arc<Agent>,
-    /// What came with the request.
+    /// Request metadata sent by the entry.
     pub cx: &'a RequestContext,
-    /// The document that it is served by.
+    /// The document that it is served under.
     pub doc: &'a InForce,
-    /// Its class.
+    /// Class of the request.
     pub class: &'a Class,
-    /// The way back.
-    pub frames: &'a mut Frames,
-    /// Its times.
-    pub times: &'a mut Times,
-    /// When it was received.
-    pub since: Instant,
+    /// Channel for the response to the entry.
+    pub frames: &'a mut FrameSender,
+    /// Durations measured so far.
+    pub times: &'a mut AttemptTimes,
+    /// When the request was received.
+    pub received_at: Instant,
 }
 
-impl Try<'_> {
-    /// Notes the first byte of the answer.
-    pub fn first_byte(&mut self) {
-        self.times.first.get_or_insert(self.since.elapsed());
+impl Attempt<'_> {
+    /// Records the time of the first byte, if it is the first.
+    pub fn record_first_byte(&mut self) {
+        self.times
+            .first_byte
+            .get_or_insert(self.received_at.elapsed());
     }
 
-    /// Logs what the upstream did wrong.
-    pub fn bad_answer(&self, why: String) {
+    /// Logs an invalid or failed response of the upstream.
+    pub fn log_bad_answer(&self, why: String) {
         emit(&Event::BadAnswer {
             request: self.cx.request.to_string(),
             upstream: &self.agent.upstream,
--- a/crates/agent/src/claims.rs
+++ b/crates/agent/src/claims.rs
@@ -1,12 +1,11 @@
-//! Claims of non-idempotent calls.
+//! Idempotency claims of non-idempotent calls.
 //!
-//! Before the first byte of such a call goes upstream, a row for its key is
-//! committed, and only who inserted the row runs the call. Many claims share
-//! one transaction. A write whose outcome is unknown is read back; if even that
-//! can't be told, the claim is given up, the call isn't run, and the row is
-//! marked released later, so that the key isn't blocked for good. Marking it
-//! also shuts out the lost write itself: a claim is only inserted where there
-//! is no row, and from then on there is one.
+//! Before a call is sent to the upstream, a row for its idempotency key is committed, and only the
+//! agent that inserted the row runs the call. Claims are written in batches, one transaction each.
+//! If the outcome of a write is unknown, the rows are read back. If the outcome is still unknown
+//! after that, the claim is given up and the call isn't run. The row is later marked as released so
+//! that the key doesn't stay blocked. The release also invalidates the original write should it
+//! arrive late: a claim is only inserted if there is no row, and after the release there is one.
 
 mod batch;
 
@@ -17,72 +16,72 @@
 use store::rows::{Claim, ClaimState, KeptAnswer};
 use tokio::sync::{mpsc, oneshot};
 
-/// Jobs that may wait for the next transaction.
-const MAX_WAITING: usize = 4096;
-/// Answers and releases that may wait to be written. Past this an answer isn't
-/// kept and a key stays held, which is safe.
-const MAX_AFTERWARDS: usize = 4096;
+/// Maximum number of claims waiting for the next transaction.
+const MAX_QUEUED_CLAIMS: usize = 4096;
+/// Maximum number of final states and releases waiting to be written. Beyond this the response
+/// isn't stored and the key stays held, which is safe.
+const MAX_QUEUED_UPDATES: usize = 4096;
 
-/// What came of claiming a key.
+/// Result of claiming a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claimed {
-    /// The key is ours: run the call.
-    Won(Held),
-    /// The key's call was answered before.
+pub enum ClaimResult {
+    /// The agent holds the key and must run the call.
+    Won(HeldClaim),
+    /// The call was answered before; contains the stored response.
     Kept(KeptAnswer),
-    /// The key was used before, and its answer can't be told.
+    /// The key was used before, and the response isn't available.
     InUse,
     /// The key was used before for a different call.
     OtherCall,
-    /// It couldn't be claimed; nothing was or will be run by it.
+    /// The key couldn't be claimed; the call hasn't run and won't be run by this attempt.
     Unavailable,
 }
 
-/// A claim that this agent holds.
+/// A claim held by this agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
-    /// The row's key.
+pub struct HeldClaim {
+    /// Key of the row.
     pub key: String,
-    /// The row's version.
+    /// Version of the row.
     pub version: u64,
-    /// The row.
+    /// Value of the row.
     pub claim: Claim,
 }
 
-/// A claim to be made.
+/// A request to claim a key.
 #[derive(Debug)]
-pub struct Job {
-    /// The row's key.
+pub struct ClaimJob {
+    /// Key of the row.
     pub key: String,
-    /// The row, in state held.
+    /// Value of the row, in state `Held`.
     pub claim: Claim,
-    /// Whether every earlier try of the same request came back as not run.
+    /// Whether all earlier attempts of this request were reported as not run.
     pub none_has_run: bool,
-    reply: oneshot::Sender<Claimed>,
+    reply: oneshot::Sender<ClaimResult>,
 }
 
-/// What is to be written once a claim has served.
+/// A write that follows a claim.
 #[derive(Debug)]
-enum After {
-    /// The call's end.
-    Close(Held, ClaimState),
-    /// A claim whose write's outcome is unknown, to be released.
+enum ClaimUpdate {
+    /// Stores the final state of a call.
+    Finish(HeldClaim, ClaimState),
+    /// Releases a claim whose write had an unknown outcome.
     Release {
         key: String,
         claim: Claim,
-        /// Version of the row that the claim was to be written over.
-        over: u64,
+        /// Row version that the claim was conditional on.
+        expected_version: u64,
     },
-    /// Answers when all before it were tried.
-    Settled(oneshot::Sender<()>),
+    /// Replies once all earlier updates have been attempted.
+    Flush(oneshot::Sender<()>),
 }
 
-/// Claims of one agent. Closing the channels ends the tasks.
+/// Writes the claims of one agent. Its tasks end when the channels are closed.
 #[derive(Debug)]
 pub struct Claims {
     agent: String,
-    jobs: mpsc::Sender<Job>,
-    after: mpsc::Sender<After>,
+    jobs: mpsc::Sender<ClaimJob>,
+    updates: mpsc::Sender<ClaimUpdate>,
 }
 
 impl Claims {
@@ -91,54 +90,59 @@
     where
         T: Table + Clone + Send + Sync + 'static,
     {
-        let (jobs, jobs_rx) = mpsc::channel(MAX_WAITING);
-        let (after, after_rx) = mpsc::channel(MAX_AFTERWARDS);
+        let (jobs, jobs_rx) = mpsc::channel(MAX_QUEUED_CLAIMS);
+        let (updates, updates_rx) = mpsc::channel(MAX_QUEUED_UPDATES);
         let batcher = Batcher {
             table: table.clone(),
-            after: after.clone(),
+            updates: updates.clone(),
         };
         tokio::spawn(batcher.run(jobs_rx));
-        tokio::spawn(batch::write_after(table, after_rx));
-        Arc::new(Self { agent, jobs, after })
+        tokio::spawn(batch::write_updates(table, updates_rx));
+        Arc::new(Self {
+            agent,
+            jobs,
+            updates,
+        })
     }
 
-    /// The agent's name in claims.
+    /// Name of the agent, as stored in claims.
     pub fn agent(&self) -> &str {
         &self.agent
     }
 
     /// Claims a key.
-    pub async fn claim(&self, key: String, claim: Claim, none_has_run: bool) -> Claimed {
+    pub async fn claim(&self, key: String, claim: Claim, none_has_run: bool) -> ClaimResult {
         let (reply, rx) = oneshot::channel();
-        let job = Job {
+        let job = ClaimJob {
             key,
             claim,
             none_has_run,
             reply,
         };
         if self.jobs.try_send(job).is_err() {
-            return Claimed::Unavailable;
+            return ClaimResult::Unavailable;
         }
-        // The batcher answers each job; it only ends with the process.
-        rx.await.unwrap_or(Claimed::Unavailable)
+        // The batcher replies to every job and only ends with the process.
+        rx.await.unwrap_or(ClaimResult::Unavailable)
     }
 
-    /// Writes how a claimed call ended, after the caller has its answer.
-    pub fn close(&self, held: Held, state: ClaimState) {
-        // With no room the key stays held: a repeat is told `unknown`, which is true.
-        let _ = self.after.try_send(After::Close(held, state));
+    /// Stores the final state of a claimed call in the background.
+    pub fn finish(&self, held: HeldClaim, state: ClaimState) {
+        // If the channel is full the key stays held, and repeats are answered with `unknown`, which
+        // is correct.
+        let _ = self.updates.try_send(ClaimUpdate::Finish(held, state));
     }
 
-    /// Waits until all that was closed so far was tried, for at most `within`.
-    pub async fn settled(&self, within: Duration) {
+    /// Waits until all updates queued so far have been attempted, for at most `within`.
+    pub async fn flush(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         let wait = async {
-            if self.after.send(After::Settled(tx)).await.is_ok() {
-                // The writer answers or ends; both end the wait.
+            if self.updates.send(ClaimUpdate::Flush(tx)).await.is_ok() {
+                // The writer replies or exits; either ends the wait.
                 let _ = rx.await;
             }
         };
-        // Past the bound the keys stay held, which is safe.
+        // After the timeout, keys that weren't written stay held, which is safe.
         let _ = tokio::time::timeout(within, wait).await;
     }
 }
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,14 +1,13 @@
-//! Keeping the engine as its row of the desired state says.
+//! Reconciles the engine with its row of the desired state.
 //!
-//! The agent takes orders from its row of the desired state and from nowhere else, and runs one
-//! at a time: drain, look at the engine until no change is under way, give the
-//! order with its number as the fencing number, and wait until the engine is as
-//! desired. An engine that fails this a few times is reported as broken, and
-//! stays so until there is another order or it comes right by itself.
+//! Orders come only from that row and are applied one at a time: drain, wait until no change is in
+//! progress, send the order with its number as the fencing token, and wait until the engine has the
+//! desired state. After a few failed attempts the engine is reported as broken. This is cleared by
+//! a new order, or when the engine reaches the desired state by itself.
 //!
-//! An order whose answer never came may still lie in a socket's buffer, also one
-//! of an agent that was killed in this slot before. So no order is given until
-//! the engine has answered and stood still for [`SETTLE`] since such a moment.
+//! An order that got no response may still be in a socket buffer, even if it was sent by an earlier
+//! agent that was killed. After such an order, or after a start, no order is sent until the engine
+//! has responded and its state hasn't changed for [`SETTLE_TIME`].
 
 use crate::state::{Agent, UpstreamState};
 use engine::{EngineState, Order};
@@ -21,107 +20,115 @@
 use tokio::sync::watch;
 use wire::Role;
 
-/// Time between looks at an upstream that is as desired.
-const LOOK: Duration = Duration::from_millis(500);
-/// Time between looks during a change.
-const CHANGE_LOOK: Duration = Duration::from_millis(20);
-/// Longest that a change may take before it counts as failed.
-const CHANGE_BOUND: Duration = Duration::from_secs(60);
-/// How long an engine must have stood still before an order, if another one may
-/// still be on its way to it.
-const SETTLE: Duration = Duration::from_secs(1);
-/// Tries of one order before the engine counts as broken.
-const TRIES: u32 = 3;
+/// Poll interval for an upstream in its desired state.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Poll interval during a change.
+const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum duration of a change before it counts as failed.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time without a state change before an order may be sent, if an earlier one may still be in
+/// flight.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Maximum number of attempts of an order before the engine is reported as broken.
+const MAX_ORDER_ATTEMPTS: u32 = 3;
 
-/// Tends the upstream until the process ends.
-pub async fn tend(agent: Arc<Agent>, mut desired: watch::Receiver<Vec<Row>>) {
-    let mut tries = Tries {
+/// Reconciles the upstream until the process exits.
+pub async fn reconcile(agent: Arc<Agent>, mut desired: watch::Receiver<Vec<Row>>) {
+    let mut attempts = OrderAttempts {
         order: 0,
-        made: 0,
-        // An agent before this one may have left an order on its way.
-        astray: true,
+        count: 0,
+        // An earlier agent may have left an order in flight.
+        may_be_in_flight: true,
     };
     let mut changed = agent.node.documents.watch();
     let mut events = 0;
     loop {
         if let Some(doc) = agent.doc() {
-            let slots = agent.me(&doc.doc).map_or(0, |u| u.slots);
+            let slots = agent.upstream_in(&doc.doc).map_or(0, |u| u.slots);
             agent.admission.set_slots(slots);
             if doc.doc.is_engine() {
                 let row = desired.borrow_and_update().first().cloned();
-                tend_engine(&agent, &doc, row, &mut tries).await;
-                events = read_events(&agent, events).await;
+                reconcile_engine(&agent, &doc, row, &mut attempts).await;
+                events = apply_cache_events(&agent, events).await;
             } else {
-                set(&agent, true, None, None);
+                set_upstream_state(&agent, true, None, None);
             }
         }
-        // Whichever comes first makes the next look.
+        // Reconciles after the poll interval, or earlier if the row or a document has changed.
         tokio::select! {
-            () = tokio::time::sleep(around(LOOK)) => {}
+            () = tokio::time::sleep(around(POLL_INTERVAL)) => {}
             _ = desired.changed() => {}
             _ = changed.changed() => {}
         }
     }
 }
 
-/// Counts the tries of one order.
-struct Tries {
+/// Counts the attempts of one order.
+struct OrderAttempts {
     order: u64,
-    made: u32,
+    count: u32,
     /// Whether an order may still be on its way to the engine.
-    astray: bool,
+    may_be_in_flight: bool,
 }
 
-impl Tries {
-    /// Whether another try of an order may be made.
-    fn may(&mut self, order: u64) -> bool {
+impl OrderAttempts {
+    /// Whether the order may be attempted again.
+    fn may_try(&mut self, order: u64) -> bool {
         if self.order != order {
             self.order = order;
-            self.made = 0;
+            self.count = 0;
         }
-        self.made < TRIES
+        self.count < MAX_ORDER_ATTEMPTS
     }
 }
 
-async fn tend_engine(agent: &Agent, doc: &InForce, row: Option<Row>, tries: &mut Tries) {
+async fn reconcile_engine(
+    agent: &Agent,
+    doc: &InForce,
+    row: Option<Row>,
+    attempts: &mut OrderAttempts,
+) {
     let Some(desired) = row.and_then(|r| decode::<Desired>(&r.value)) else {
-        set(agent, false, None, Some("no order yet".into()));
+        set_upstream_state(agent, false, None, Some("no order received yet".into()));
         return;
     };
     let state = match agent.engine.state().await {
         Ok(state) => state,
         Err(e) => {
-            unusable(agent, e.to_string());
+            set_unusable(agent, e.to_string());
             return;
         }
     };
     if is_as_desired(&state, &desired) {
-        tries.made = 0;
-        set(agent, true, Some(&state), None);
+        attempts.count = 0;
+        set_upstream_state(agent, true, Some(&state), None);
         return;
     }
-    if !tries.may(desired.order) {
-        unusable(
+    if !attempts.may_try(desired.order) {
+        set_unusable(
             agent,
-            format!("order {} failed {TRIES} times", desired.order),
+            format!("order {} failed {MAX_ORDER_ATTEMPTS} times", desired.order),
         );
         return;
     }
-    // Nothing is cut off: what runs ends first. Past the bound the change waits
-    // for the next look, and the engine still takes nothing new.
-    set(
+    // Running requests are not interrupted. If they exceed the drain bound, the change is retried
+    // at the next poll and the upstream stays closed to new requests.
+    set_upstream_state(
         agent,
         false,
         None,
         Some(format!("draining for order {}", desired.order)),
     );
-    if !drained(agent, doc.doc.drain_bound).await {
-        unusable(agent, "requests still run past the drain bound".into());
+    if !wait_until_drained(agent, doc.doc.drain_bound).await {
+        set_unusable(
+            agent,
+            "requests are still running after the drain bound".into(),
+        );
         return;
     }
-    tries.made += 1;
-    if let Err(why) = change(agent, &desired, &mut tries.astray).await {
-        unusable(agent, why);
+    attempts.count += 1;
+    if let Err(why) = apply_order(agent, &desired, &mut attempts.may_be_in_flight).await {
+        set_unusable(agent, why);
     } else {
         emit(&Event::OrderDone {
             upstream: &agent.upstream,
@@ -130,12 +137,16 @@
     }
 }
 
-/// Makes a drained engine as desired.
-async fn change(agent: &Agent, desired: &Desired, astray: &mut bool) -> Result<(), String> {
-    let mut state = quiet(agent).await?;
-    if *astray {
-        state = settled(agent, state).await?;
-        *astray = false;
+/// Brings a drained engine into the desired state.
+async fn apply_order(
+    agent: &Agent,
+    desired: &Desired,
+    may_be_in_flight: &mut bool,
+) -> Result<(), String> {
+    let mut state = wait_until_stable(agent).await?;
+    if *may_be_in_flight {
+        state = wait_until_settled(agent, state).await?;
+        *may_be_in_flight = false;
     }
     if is_as_desired(&state, desired) {
         return Ok(());
@@ -150,67 +161,67 @@
         order: desired.order,
     });
     agent.prefixes.clear();
-    // Until the engine has answered, the order may be anywhere.
-    *astray = true;
+    // Until the engine has responded, the order may be in flight.
+    *may_be_in_flight = true;
     agent
         .engine
         .order(&order)
         .await
         .map_err(|e| e.to_string())?;
-    *astray = false;
-    let state = quiet(agent).await?;
+    *may_be_in_flight = false;
+    let state = wait_until_stable(agent).await?;
     if is_as_desired(&state, desired) {
         Ok(())
     } else {
-        Err("engine isn't as ordered".into())
+        Err("the engine's state differs from the order".into())
     }
 }
 
-/// Waits until the engine has stood still for [`SETTLE`].
-async fn settled(agent: &Agent, first: EngineState) -> Result<EngineState, String> {
-    let mut still = (first, Instant::now());
-    while still.1.elapsed() < SETTLE {
-        tokio::time::sleep(CHANGE_LOOK).await;
-        let state = quiet(agent).await?;
-        if state != still.0 {
-            still = (state, Instant::now());
+/// Waits until the state of the engine hasn't changed for [`SETTLE_TIME`].
+async fn wait_until_settled(agent: &Agent, first: EngineState) -> Result<EngineState, String> {
+    let mut unchanged = (first, Instant::now());
+    while unchanged.1.elapsed() < SETTLE_TIME {
+        tokio::time::sleep(CHANGE_POLL_INTERVAL).await;
+        let state = wait_until_stable(agent).await?;
+        if state != unchanged.0 {
+            unchanged = (state, Instant::now());
         }
     }
-    Ok(still.0)
+    Ok(unchanged.0)
 }
 
 fn is_as_desired(state: &EngineState, desired: &Desired) -> bool {
     !state.changing && state.role == desired.role && state.model.as_ref() == Some(&desired.model)
 }
 
-async fn drained(agent: &Agent, bound: Duration) -> bool {
+async fn wait_until_drained(agent: &Agent, bound: Duration) -> bool {
     let until = Instant::now() + bound;
     while agent.admission.counts().1 > 0 {
         if Instant::now() >= until {
             return false;
         }
-        tokio::time::sleep(CHANGE_LOOK).await;
+        tokio::time::sleep(CHANGE_POLL_INTERVAL).await;
     }
     true
 }
 
-/// Waits until no change is under way at the engine.
-async fn quiet(agent: &Agent) -> Result<EngineState, String> {
-    let until = Instant::now() + CHANGE_BOUND;
+/// Waits until no change is in progress at the engine.
+async fn wait_until_stable(agent: &Agent) -> Result<EngineState, String> {
+    let until = Instant::now() + CHANGE_TIMEOUT;
     loop {
         let state = agent.engine.state().await.map_err(|e| e.to_string())?;
         if !state.changing {
             return Ok(state);
         }
         if Instant::now() >= until {
-            return Err("the change takes too long".into());
+            return Err("the engine's change timed out".into());
         }
-        tokio::time::sleep(CHANGE_LOOK).await;
+        tokio::time::sleep(CHANGE_POLL_INTERVAL).await;
     }
 }
 
-async fn read_events(agent: &Agent, after: u64) -> u64 {
-    // Without events the agent's own view of the cache stands.
+async fn apply_cache_events(agent: &Agent, after: u64) -> u64 {
+    // Without events, the prefixes recorded by the agent remain in use.
     let Ok(events) = agent.engine.cache_events(after).await else {
         return after;
     };
@@ -218,18 +229,23 @@
     events.last
 }
 
-fn unusable(agent: &Agent, why: String) {
+fn set_unusable(agent: &Agent, why: String) {
     if agent.upstream_state().fault.as_ref() != Some(&why) {
         emit(&Event::UpstreamBroken {
             upstream: &agent.upstream,
             why: why.clone(),
         });
     }
-    set(agent, false, None, Some(why));
+    set_upstream_state(agent, false, None, Some(why));
 }
 
-fn set(agent: &Agent, usable: bool, state: Option<&EngineState>, fault: Option<String>) {
-    agent.set_upstream(UpstreamState {
+fn set_upstream_state(
+    agent: &Agent,
+    usable: bool,
+    state: Option<&EngineState>,
+    fault: Option<String>,
+) {
+    agent.set_upstream_state(UpstreamState {
         usable,
         role: state.map_or(Role::Mixed, |s| s.role),
         model: state.and_then(|s| s.model.clone()),
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,23 +1,24 @@
-//! One try of a request, as its frames come in.
+//! Reads the frames of an attempt from an agent.
 
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use observe::{Event, emit};
 use wire::{Frame, FrameReader, Part, RequestId, StreamCheck};
 
-/// A try whose answer is under way. Dropping it cancels it at the agent.
+/// An attempt whose response is being received. Dropping it cancels it at the agent.
 pub struct Attempt {
     request: RequestId,
     upstream: String,
     body: Incoming,
     reader: FrameReader,
     check: StreamCheck,
-    /// Whether the agent has said that it left the queue.
+    /// Whether the agent has reported that the request left the queue.
     pub started: bool,
 }
 
 impl Attempt {
-    /// A try at an upstream. `delivered` is what the caller has from earlier tries.
+    /// Creates an attempt at an upstream. `delivered` is the number of tokens that the caller has
+    /// received from earlier attempts.
     pub fn new(request: RequestId, upstream: String, body: Incoming, delivered: u64) -> Self {
         Self {
             request,
@@ -29,14 +30,15 @@
         }
     }
 
-    /// Reads the next frame's part; none if the answer breaks off or isn't ours.
-    pub async fn read(&mut self) -> Option<Part> {
+    /// Reads the part of the next frame. Returns `None` if the response breaks off or a frame is
+    /// invalid.
+    pub async fn next_part(&mut self) -> Option<Part> {
         loop {
             match self.reader.pop() {
-                Ok(Some(frame)) => return self.accept(frame),
+                Ok(Some(frame)) => return self.check_frame(frame),
                 Ok(None) => {}
                 Err(e) => {
-                    self.tell(e.to_string());
+                    self.log_bad_answer(e.to_string());
                     return None;
                 }
             }
@@ -47,18 +49,18 @@
         }
     }
 
-    fn accept(&mut self, frame: Frame) -> Option<Part> {
-        let claimed = frame.request;
+    fn check_frame(&mut self, frame: Frame) -> Option<Part> {
+        let frame_request = frame.request;
         match self.check.take(frame) {
             Ok(part) => Some(part),
             Err(e) => {
-                self.tell(format!("{e}: it says {claimed}"));
+                self.log_bad_answer(format!("{e}: the frame has request id {frame_request}"));
                 None
             }
         }
     }
 
-    fn tell(&self, why: String) {
+    fn log_bad_answer(&self, why: String) {
         emit(&Event::BadAnswer {
             request: self.request.to_string(),
             upstream: &self.upstream,
--- a/crates/entry/src/docs.rs
+++ b/crates/entry/src/docs.rs
@@ -1,5 +1,5 @@
-//! Documents between entries and agents: whoever is behind gets the newer one
-//! from the other, so that few need to ask the table service.
+//! Exchanges documents with agents: the side with the older version gets the newer one from the
+//! other, so that few processes have to read it from the table service.
 
 use crate::state::Entry;
 use hyper::Method;
@@ -8,17 +8,17 @@
 use store::docs::Offered;
 use wire::{DocText, PATH_DOC};
 
-/// Largest document message.
-const MAX_DOC: usize = conf::yaml::MAX_FILE + 4096;
+/// Maximum size of a document message, in bytes.
+const MAX_DOC_MESSAGE: usize = conf::yaml::MAX_FILE + 4096;
 
-/// Evens out versions with an agent that has `theirs`.
-pub async fn even_out(entry: &Entry, peer: &Peer, service: &str, theirs: u64) {
+/// Fetches or sends the document if the version of the agent differs from that of this entry.
+pub async fn sync_document(entry: &Entry, peer: &Peer, service: &str, agent_version: u64) {
     let documents = &entry.node.documents;
-    let ours = documents.version(service);
-    if theirs > ours {
-        documents.heard(service, theirs);
+    let own_version = documents.version(service);
+    if agent_version > own_version {
+        documents.heard(service, agent_version);
         fetch(entry, peer, service).await;
-    } else if theirs < ours {
+    } else if agent_version < own_version {
         push(entry, peer, service).await;
     }
 }
@@ -26,9 +26,9 @@
 async fn fetch(entry: &Entry, peer: &Peer, service: &str) {
     let timeout = entry.node.settings.limits.probe_timeout;
     let got = peer
-        .call(Method::GET, PATH_DOC, Vec::new(), MAX_DOC, timeout)
+        .call(Method::GET, PATH_DOC, Vec::new(), MAX_DOC_MESSAGE, timeout)
         .await;
-    // Without it the next look at the table service brings the document.
+    // After a failure, the next poll of the table service gets the document.
     let Ok((status, body)) = got else { return };
     let Some(text) = status
         .is_success()
@@ -50,13 +50,13 @@
         return;
     };
     let timeout = entry.node.settings.limits.probe_timeout;
-    // An agent that doesn't get it refuses the request, and nothing is lost.
+    // After a failure, the agent refuses the request as not run, which is safe.
     let _ = peer
         .call(
             Method::POST,
             PATH_DOC,
             wire::encode(&text),
-            MAX_DOC,
+            MAX_DOC_MESSAGE,
             timeout,
         )
         .await;
