--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -6,7 +6,9 @@
 
 use observe::log_line::now_ms;
 use observe::{Event, emit};
-use resilience::crashes::{Change, Proof, REMEMBERED, Record, Source, TRIALS, Word};
+use resilience::crashes::{
+    Change, Confidence, CrashRecord, Observation, RETENTION, STORED_TRIALS, Source,
+};
 use resilience::{Fingerprint, Verdict};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -31,7 +33,7 @@
     platform: HttpPlatform,
     /// The entry's name, in rows.
     entry: String,
-    known: Mutex<resilience::Crashes>,
+    known: Mutex<resilience::CrashTracker>,
     to_write: Notify,
 }
 
@@ -43,7 +45,7 @@
     /// Once, as this trial.
     Trial(usize),
     /// Not at all.
-    Held(Proof),
+    Held(Confidence),
 }
 
 /// Hashes what a request asks for and who asks. Where its answer goes on is none of it.
@@ -71,7 +73,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, resilience::Crashes> {
+    fn lock(&self) -> MutexGuard<'_, resilience::CrashTracker> {
         self.known.lock().expect("no panic while locked")
     }
 
@@ -83,25 +85,31 @@
     /// Notes that an upstream ended under work, and whether that was a trial.
     pub fn ended(&self, work: Fingerprint, end: u32, in_trial: bool) {
         let at = Instant::now();
-        let word = Word::End {
-            work,
+        let word = Observation::Crash {
+            fingerprint: work,
             upstream: end,
             at,
             in_trial,
         };
-        self.take(word, Source::Own);
+        self.take(word, Source::Local);
     }
 
     /// Notes that work has had its whole answer.
     pub fn answered(&self, work: Fingerprint) {
         let at = Instant::now();
-        self.take(Word::Answer { work, at }, Source::Own);
+        self.take(
+            Observation::Answer {
+                fingerprint: work,
+                at,
+            },
+            Source::Local,
+        );
     }
 
-    fn take(&self, word: Word, source: Source) {
-        let change = self.lock().take(word, source, false, Instant::now());
-        tell(word.work(), change);
-        if change != Change::Same && source == Source::Own {
+    fn take(&self, word: Observation, source: Source) {
+        let change = self.lock().apply(word, source, false, Instant::now());
+        tell(word.fingerprint(), change);
+        if change != Change::Unchanged && source == Source::Local {
             self.to_write.notify_one();
         }
     }
@@ -113,13 +121,13 @@
             let mut known = self.lock();
             let verdict = known.verdict(work, now);
             if let Verdict::Trial(..) = verdict {
-                known.ask_trial(work, now);
+                known.trial_requested(work, now);
             }
             verdict
         };
         match verdict {
-            Verdict::Free | Verdict::Suspect => Admission::Usual,
-            Verdict::Held(proof) => Admission::Held(proof),
+            Verdict::Allowed | Verdict::Suspected => Admission::Usual,
+            Verdict::Blocked(proof) => Admission::Held(proof),
             Verdict::Trial(number, proof) => match self.take_trial(work, number).await {
                 true => Admission::Trial(number),
                 false => Admission::Held(proof),
@@ -142,7 +150,7 @@
 
     /// Takes a trial for all entries; says whether it is this one's.
     async fn take_trial(&self, work: Fingerprint, number: usize) -> bool {
-        let written = match number < TRIALS {
+        let written = match number < STORED_TRIALS {
             true => self.write_trial(work, number).await,
             // Each entry takes one of these a minute.
             false => Ok(()),
@@ -194,8 +202,8 @@
     async fn write(&self) {
         let (due, answered) = {
             let known = self.lock();
-            let due = known.to_record(RECORD_FROM, None, MAX_AT_ONCE);
-            (due, known.to_remove(None, MAX_AT_ONCE))
+            let due = known.unrecorded(RECORD_FROM, None, MAX_AT_ONCE);
+            (due, known.obsolete_records(None, MAX_AT_ONCE))
         };
         if due.is_empty() && answered.is_empty() {
             return;
@@ -204,7 +212,7 @@
         for record in &due {
             let ago = record.at.elapsed().as_millis() as u64;
             let row = self.row(now_ms().saturating_sub(ago), record.in_trial);
-            txn = txn.put(crash_key(record.work.0, record.upstream), row);
+            txn = txn.put(crash_key(record.fingerprint.0, record.upstream), row);
         }
         for record in &answered {
             txn.puts.extend(removals(record));
@@ -229,13 +237,13 @@
             return;
         };
         let recorded = self.lock().recorded();
-        let is_there = |record: &&Record| {
-            let key = crash_key(record.work.0, record.upstream);
+        let is_there = |record: &&CrashRecord| {
+            let key = crash_key(record.fingerprint.0, record.upstream);
             rows.iter().any(|row| row.key == key)
         };
         for gone in recorded.iter().filter(|record| !is_there(record)) {
-            let change = self.lock().forget(gone.work, gone.upstream);
-            tell(gone.work, change);
+            let change = self.lock().remove_crash(gone.fingerprint, gone.upstream);
+            tell(gone.fingerprint, change);
         }
         let old: Vec<String> = rows.iter().filter_map(|row| self.learn(row)).collect();
         self.remove(old).await;
@@ -265,15 +273,15 @@
             return None;
         };
         let age = Duration::from_millis(now_ms().saturating_sub(crash.at_ms));
-        if age >= REMEMBERED {
+        if age >= RETENTION {
             return Some(row.key.clone());
         }
         let now = Instant::now();
         let at = now.checked_sub(age).unwrap_or(now);
         match key {
             CrashKey::End { work, end } => {
-                let word = Word::End {
-                    work: Fingerprint(work),
+                let word = Observation::Crash {
+                    fingerprint: Fingerprint(work),
                     upstream: end,
                     at,
                     in_trial: crash.in_trial,
@@ -296,9 +304,9 @@
 }
 
 /// Removes the row of an end, and those of the work's trials.
-fn removals(record: &Record) -> Vec<Put> {
-    let trials = (0..TRIALS).map(|number| trial_key(record.work.0, number));
-    let keys = std::iter::once(crash_key(record.work.0, record.upstream)).chain(trials);
+fn removals(record: &CrashRecord) -> Vec<Put> {
+    let trials = (0..STORED_TRIALS).map(|number| trial_key(record.fingerprint.0, number));
+    let keys = std::iter::once(crash_key(record.fingerprint.0, record.upstream)).chain(trials);
     keys.map(|key| Put { key, value: None }).collect()
 }
 
@@ -306,8 +314,8 @@
     let work = work.to_string();
     let source = "entries";
     match change {
-        Change::Same | Change::Counted(_) => {}
-        Change::HeldBack(ends) => emit(&Event::WorkHeldBack { work, ends, source }),
+        Change::Unchanged | Change::Counted(_) => {}
+        Change::Blocked(ends) => emit(&Event::WorkHeldBack { work, ends, source }),
         Change::Cleared => emit(&Event::WorkReleased { work, source }),
     }
 }
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -34,7 +34,7 @@
     pub fn succeeded(&self, addr: SocketAddr) {
         let mut failed = self.lock();
         if let Ok(at) = failed.binary_search_by_key(&addr, |(a, _)| *a) {
-            failed[at].1.succeeded();
+            failed[at].1.record_success();
         }
     }
 
@@ -49,7 +49,7 @@
             }
         };
         // Its probes in flight fail with it; the first has suspended it.
-        let _ = failed[at].1.failed(LOST_WEIGHT, now);
+        let _ = failed[at].1.record_failure(LOST_WEIGHT, now);
     }
 
     /// Forgets agents that no document names any more.
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -23,7 +23,7 @@
 use net::{HeadLimits, Protocol, Server, Stop};
 use node::{Node, StartError};
 use observe::{Event, emit};
-use plan::{DUTY, Duty};
+use plan::{DUTY, Planner};
 use state::Entry;
 use std::sync::Arc;
 use store::poll::AlsoRows;
@@ -94,7 +94,7 @@
     leases: &watch::Receiver<Vec<store::Row>>,
     stop: &Stop,
 ) -> Vec<tokio::task::JoinHandle<()>> {
-    let duty = |service| Duty {
+    let duty = |service| Planner {
         table: node.platform.clone(),
         documents: node.documents.clone(),
         service,
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -11,7 +11,7 @@
 use net::{CallError, Pool};
 use node::RunningGuard;
 use resilience::Fingerprint;
-use resilience::crashes::Proof;
+use resilience::crashes::Confidence;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use store::InForce;
@@ -218,10 +218,10 @@
                 self.trial = Some(number);
                 return Ok(());
             }
-            Admission::Held(Proof::Open) => {
+            Admission::Held(Confidence::Unconfirmed) => {
                 Refusal::not_run(Reason::CrashSuspected).retry_in(NO_UPSTREAM_RETRY_MS)
             }
-            Admission::Held(Proof::Proven) => Refusal::not_run(Reason::CrashesUpstreams),
+            Admission::Held(Confidence::Confirmed) => Refusal::not_run(Reason::CrashesUpstreams),
         };
         Err(self.give_up(held))
     }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -4,7 +4,7 @@
 use crate::health::AgentHealth;
 use crate::peers::Peers;
 use node::Node;
-use resilience::Budget;
+use resilience::RetryBudget;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
     pub health: AgentHealth,
     /// Work under which upstreams end.
     pub crashes: Crashes,
-    budget: Mutex<Budget>,
+    budget: Mutex<RetryBudget>,
 }
 
 impl Entry {
@@ -39,7 +39,7 @@
             crashes: Crashes::new(node.platform.clone(), node.settings.name.clone()),
             node,
             health: AgentHealth::default(),
-            budget: Mutex::new(Budget::new(
+            budget: Mutex::new(RetryBudget::new(
                 RETRIES_PER_REQUEST,
                 RETRY_ALLOWANCE,
                 RETRY_WINDOW,
@@ -51,13 +51,13 @@
     /// Notes a request, which earns a part of a retry.
     pub fn earn_retry(&self) {
         let mut budget = self.budget.lock().expect("no panic while locked");
-        budget.earn(Instant::now());
+        budget.record_request(Instant::now());
     }
 
     /// Takes a retry, if there is one.
     pub fn spend_retry(&self) -> bool {
         let mut budget = self.budget.lock().expect("no panic while locked");
-        budget.spend(Instant::now())
+        budget.try_retry(Instant::now())
     }
 
     /// Whether it takes requests: it isn't stopping, and has a document for
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -326,7 +326,7 @@
     let Some(upstream) = fleet.get_mut(plan.key) else {
         return;
     };
-    upstream.health.succeeded();
+    upstream.health.record_success();
     if !call.is_engine {
         return;
     }
@@ -353,12 +353,12 @@
     let Some(upstream) = fleet.get_mut(plan.key) else {
         return;
     };
-    if let Some(suspended) = upstream.health.failed(weight, Instant::now()) {
+    if let Some(suspended) = upstream.health.record_failure(weight, Instant::now()) {
         upstream.pool.close_idle();
         emit(&Event::UpstreamSuspended {
             upstream: &plan.instance,
-            failures: suspended.failures,
-            for_ms: suspended.pause.as_millis() as u64,
+            failures: suspended.failure_rate,
+            for_ms: suspended.duration.as_millis() as u64,
         });
     }
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,8 +19,8 @@
 use crate::serve::Call;
 use crate::state::Gateway;
 use observe::{Event, emit};
-use resilience::crashes::{Change, Source, Word};
-use resilience::{Crashes, Fingerprint};
+use resilience::crashes::{Change, Observation, Source};
+use resilience::{CrashTracker, Fingerprint};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
@@ -28,7 +28,7 @@
 /// What this process knows of work under which upstreams end.
 #[derive(Debug, Default)]
 pub struct Shared {
-    known: Mutex<Crashes>,
+    known: Mutex<CrashTracker>,
     clock: Mutex<Option<StoreClock>>,
     /// Given when there may be rows to write or to remove.
     to_write: Notify,
@@ -59,7 +59,7 @@
 
 impl Shared {
     /// What is known. Never held across an await.
-    pub fn lock(&self) -> MutexGuard<'_, Crashes> {
+    pub fn lock(&self) -> MutexGuard<'_, CrashTracker> {
         self.known.lock().expect("no panic while locked")
     }
 
@@ -75,13 +75,13 @@
 }
 
 /// Takes a word, logs what it changes, and has it written where the store is to keep it.
-fn take(gateway: &Gateway, word: Word, source: Source, tells_on: bool) -> Change {
+fn take(gateway: &Gateway, word: Observation, source: Source, tells_on: bool) -> Change {
     let change = gateway
         .crashes
         .lock()
-        .take(word, source, tells_on, Instant::now());
-    tell(word.work(), change, source);
-    if change != Change::Same {
+        .apply(word, source, tells_on, Instant::now());
+    tell(word.fingerprint(), change, source);
+    if change != Change::Unchanged {
         gateway.crashes.to_write.notify_one();
     }
     change
@@ -92,15 +92,15 @@
     let work = work.to_string();
     let source = source_name(source);
     match change {
-        Change::Same | Change::Counted(_) => {}
-        Change::HeldBack(ends) => emit(&Event::WorkHeldBack { work, ends, source }),
+        Change::Unchanged | Change::Counted(_) => {}
+        Change::Blocked(ends) => emit(&Event::WorkHeldBack { work, ends, source }),
         Change::Cleared => emit(&Event::WorkReleased { work, source }),
     }
 }
 
 fn source_name(source: Source) -> &'static str {
     match source {
-        Source::Own => "own requests",
+        Source::Local => "own requests",
         Source::Peer => "peer",
         Source::Store => "store",
     }
@@ -112,11 +112,11 @@
     if gateway.crashes.lock().is_empty() {
         return;
     }
-    let word = Word::Answer {
-        work: call.fingerprint(),
+    let word = Observation::Answer {
+        fingerprint: call.fingerprint(),
         at: Instant::now(),
     };
-    take(gateway, word, Source::Own, true);
+    take(gateway, word, Source::Local, true);
 }
 
 /// Takes what a peer has learned. Where processes form trees it is told on.
@@ -131,15 +131,15 @@
 
 /// What peers are to be told now.
 pub fn news(gateway: &Gateway, now: Instant) -> Vec<CrashWord> {
-    let words = gateway.crashes.lock().news(now);
+    let words = gateway.crashes.lock().due_observations(now);
     words.iter().map(|word| to_peer(word, now)).collect()
 }
 
 /// Upstream ends that are recorded in the store, for a peer that is starting.
 pub fn recorded(gateway: &Gateway, now: Instant) -> Vec<CrashWord> {
     let recorded = gateway.crashes.lock().recorded();
-    let words = recorded.iter().map(|r| Word::End {
-        work: r.work,
+    let words = recorded.iter().map(|r| Observation::Crash {
+        fingerprint: r.fingerprint,
         upstream: r.upstream,
         at: r.at,
         in_trial: r.in_trial,
@@ -156,17 +156,17 @@
     }
 }
 
-fn to_peer(word: &Word, now: Instant) -> CrashWord {
+fn to_peer(word: &Observation, now: Instant) -> CrashWord {
     let (at, upstream, in_trial) = match *word {
-        Word::End {
+        Observation::Crash {
             upstream,
             at,
             in_trial,
             ..
         } => (at, Some(upstream), in_trial),
-        Word::Answer { at, .. } => (at, None, false),
+        Observation::Answer { at, .. } => (at, None, false),
     };
-    let Fingerprint(work) = word.work();
+    let Fingerprint(work) = word.fingerprint();
     let ago = now.saturating_duration_since(at).as_millis();
     CrashWord {
         work: [(work >> 64) as u64, work as u64],
@@ -176,17 +176,20 @@
     }
 }
 
-fn from_peer(word: &CrashWord, now: Instant) -> Option<Word> {
+fn from_peer(word: &CrashWord, now: Instant) -> Option<Observation> {
     let [high, low] = word.work.map(u128::from);
     let work = Fingerprint(high << 64 | low);
     let at = now.checked_sub(Duration::from_millis(word.ago_ms.into()))?;
     Some(match word.upstream {
-        Some(upstream) => Word::End {
-            work,
+        Some(upstream) => Observation::Crash {
+            fingerprint: work,
             upstream,
             at,
             in_trial: word.in_trial,
         },
-        None => Word::Answer { work, at },
+        None => Observation::Answer {
+            fingerprint: work,
+            at,
+        },
     })
 }
--- a/crates/gateway/src/crashes/admit.rs
+++ b/crates/gateway/src/crashes/admit.rs
@@ -6,7 +6,7 @@
 use crate::answer::Reason;
 use crate::serve::Call;
 use resilience::Verdict;
-use resilience::crashes::Proof;
+use resilience::crashes::Confidence;
 use std::time::Instant;
 
 /// How a request may be sent.
@@ -20,11 +20,11 @@
     Held(Reason),
 }
 
-impl From<Proof> for Reason {
-    fn from(proof: Proof) -> Self {
+impl From<Confidence> for Reason {
+    fn from(proof: Confidence) -> Self {
         match proof {
-            Proof::Open => Self::CrashSuspected,
-            Proof::Proven => Self::CrashesUpstreams,
+            Confidence::Unconfirmed => Self::CrashSuspected,
+            Confidence::Confirmed => Self::CrashesUpstreams,
         }
     }
 }
@@ -49,17 +49,17 @@
         let mut crashes = crashes.lock();
         let verdict = crashes.verdict(work, now);
         if let Verdict::Trial(..) = verdict {
-            crashes.ask_trial(work, now);
+            crashes.trial_requested(work, now);
         }
         verdict
     };
-    if verdict != Verdict::Free {
+    if verdict != Verdict::Allowed {
         account.work = Some(work);
     }
     match verdict {
-        Verdict::Free => Admission::Usual,
-        Verdict::Suspect => Admission::Alone,
-        Verdict::Held(proof) => Admission::Held(proof.into()),
+        Verdict::Allowed => Admission::Usual,
+        Verdict::Suspected => Admission::Alone,
+        Verdict::Blocked(proof) => Admission::Held(proof.into()),
         Verdict::Trial(number, proof) => {
             match rows::take_trial(&call.gateway, work, number).await {
                 true => {
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -6,7 +6,7 @@
 use crate::state::Gateway;
 use observe::{Event, emit};
 use resilience::Fingerprint;
-use resilience::crashes::{Source, Word};
+use resilience::crashes::{Observation, Source};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -53,13 +53,13 @@
         tokio::time::sleep(SIGN_OF_LIFE).await;
         let has_ended = self.has_ended();
         if has_ended {
-            let word = Word::End {
-                work: self.work,
+            let word = Observation::Crash {
+                fingerprint: self.work,
                 upstream: self.tag,
                 at: self.at,
                 in_trial: self.in_trial,
             };
-            super::take(&self.gateway, word, Source::Own, true);
+            super::take(&self.gateway, word, Source::Local, true);
         }
         emit(&Event::ConnectionBroke {
             request: &self.request,
@@ -67,7 +67,7 @@
             upstream: &self.instance,
             upstream_ended: has_ended,
             in_trial: self.in_trial,
-            ends: self.gateway.crashes.lock().counted(self.work),
+            ends: self.gateway.crashes.lock().crash_count(self.work),
         });
     }
 
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -10,7 +10,9 @@
 use platform::store::MAX_ENTRIES;
 use platform::{CrashChange, CrashKey, CrashMark, CrashRow, Feed, StoreError, TrialWrite};
 use resilience::Fingerprint;
-use resilience::crashes::{LIMIT, RECORD_FROM, REMEMBERED, Record, Source, TRIALS, Word};
+use resilience::crashes::{
+    BLOCK_THRESHOLD, CrashRecord, Observation, RECORD_THRESHOLD, RETENTION, STORED_TRIALS, Source,
+};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -38,7 +40,7 @@
 const MAX_AT_ONCE: usize = 32;
 /// Ends whose rows one call removes, with those of their work's trials: the store takes no
 /// more entries in one.
-const MAX_ENDS_AT_ONCE: usize = MAX_ENTRIES / (1 + TRIALS);
+const MAX_ENDS_AT_ONCE: usize = MAX_ENTRIES / (1 + STORED_TRIALS);
 /// Rows from which on only ends of work that is held back are written: a table of them is
 /// read in two pages.
 const MAX_ROWS: usize = 256;
@@ -103,7 +105,7 @@
 /// Takes what a read tells. A whole one also tells by absence.
 fn merge(gateway: &Gateway, changes: &[CrashChange], is_whole: bool) {
     if is_whole {
-        let is_there = |record: &Record| {
+        let is_there = |record: &CrashRecord| {
             let key = end_key(record);
             changes
                 .iter()
@@ -111,7 +113,7 @@
         };
         let recorded = gateway.crashes.lock().recorded();
         for record in recorded.iter().filter(|record| !is_there(record)) {
-            forget(gateway, record.work, record.upstream);
+            forget(gateway, record.fingerprint, record.upstream);
         }
     }
     for change in changes {
@@ -134,7 +136,7 @@
 }
 
 fn forget(gateway: &Gateway, work: Fingerprint, upstream: u32) {
-    let change = gateway.crashes.lock().forget(work, upstream);
+    let change = gateway.crashes.lock().remove_crash(work, upstream);
     tell(work, change, Source::Store);
 }
 
@@ -152,8 +154,8 @@
     let at = clock.instant(row.at_ms).unwrap_or(now);
     match row.key.mark {
         CrashMark::End(upstream) => {
-            let word = Word::End {
-                work,
+            let word = Observation::Crash {
+                fingerprint: work,
                 upstream,
                 at,
                 in_trial: row.in_trial,
@@ -169,7 +171,7 @@
 
 fn is_old(row: &CrashRow, clock: StoreClock) -> bool {
     let age_ms = clock.at_ms(Instant::now()).saturating_sub(row.at_ms);
-    Duration::from_millis(age_ms) >= REMEMBERED
+    Duration::from_millis(age_ms) >= RETENTION
 }
 
 /// Removes rows that are too old. The first of the processes does it for all.
@@ -227,7 +229,7 @@
     let ends = to_record(gateway);
     if !ends.is_empty() {
         let host = gateway.host().name.clone();
-        let row = |record: &Record| CrashRow {
+        let row = |record: &CrashRecord| CrashRow {
             key: end_key(record),
             host: host.clone(),
             at_ms: clock.at_ms(record.at),
@@ -248,7 +250,7 @@
     Ok(true)
 }
 
-fn set_recorded(crashes: &Shared, records: &[Record], is_recorded: bool) {
+fn set_recorded(crashes: &Shared, records: &[CrashRecord], is_recorded: bool) {
     let mut crashes = crashes.lock();
     for record in records {
         crashes.set_recorded(record, is_recorded);
@@ -264,21 +266,24 @@
 
 /// The ends that are to be written now: the first end of any work by a host that hears no
 /// peer.
-fn to_record(gateway: &Gateway) -> Vec<Record> {
+fn to_record(gateway: &Gateway) -> Vec<CrashRecord> {
     let (hears_nobody, others) = (hears_nobody(gateway), left_by_others(gateway));
     let crashes = gateway.crashes.lock();
     let from_ends = match crashes.recorded().len() {
-        rows if rows >= MAX_ROWS => LIMIT,
+        rows if rows >= MAX_ROWS => BLOCK_THRESHOLD,
         _ if hears_nobody => 1,
-        _ => RECORD_FROM,
+        _ => RECORD_THRESHOLD,
     };
-    crashes.to_record(from_ends, others, MAX_AT_ONCE)
+    crashes.unrecorded(from_ends, others, MAX_AT_ONCE)
 }
 
 /// The ends whose rows are to be removed now.
-fn to_remove(gateway: &Gateway) -> Vec<Record> {
+fn to_remove(gateway: &Gateway) -> Vec<CrashRecord> {
     let others = left_by_others(gateway);
-    gateway.crashes.lock().to_remove(others, MAX_ENDS_AT_ONCE)
+    gateway
+        .crashes
+        .lock()
+        .obsolete_records(others, MAX_ENDS_AT_ONCE)
 }
 
 /// Before when what others saw is this host's to write; none if it writes its own only.
@@ -289,16 +294,16 @@
         .filter(|_| is_writer)
 }
 
-fn end_key(record: &Record) -> CrashKey {
+fn end_key(record: &CrashRecord) -> CrashKey {
     CrashKey {
-        work: record.work.0,
+        work: record.fingerprint.0,
         mark: CrashMark::End(record.upstream),
     }
 }
 
 /// The rows that go with an end: its own, and those of the work's trials.
-fn keys_of(record: &Record) -> Vec<CrashKey> {
-    let trials = (0..TRIALS).map(|number| trial_key(record.work, number));
+fn keys_of(record: &CrashRecord) -> Vec<CrashKey> {
+    let trials = (0..STORED_TRIALS).map(|number| trial_key(record.fingerprint, number));
     std::iter::once(end_key(record)).chain(trials).collect()
 }
 
@@ -317,7 +322,7 @@
         return false;
     };
     let is_first = gateway.rank() == 0;
-    let (is_ours, outcome) = match number < TRIALS {
+    let (is_ours, outcome) = match number < STORED_TRIALS {
         true => match write_trial(gateway, clock, work, number).await {
             Ok(TrialWrite::Taken) => (true, "taken".to_owned()),
             Ok(TrialWrite::Refused) => {
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -9,7 +9,7 @@
 use crate::state::Gateway;
 use observe::{Event, emit};
 use resilience::Fingerprint;
-use resilience::crashes::{Change, Source, Word};
+use resilience::crashes::{Change, Observation, Source};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::Semaphore;
@@ -115,7 +115,7 @@
         while self.at.elapsed() < LOOK_FOR {
             tokio::time::sleep(LOOK_EVERY).await;
             // Cleared meanwhile, it was answered.
-            if self.in_trial && self.gateway.crashes.lock().counted(self.work) == 0 {
+            if self.in_trial && self.gateway.crashes.lock().crash_count(self.work) == 0 {
                 return;
             }
             match self.fate() {
@@ -128,13 +128,13 @@
 
     /// Counts the end, unless it is known by a connection that broke.
     fn ended(&self) {
-        let word = Word::End {
-            work: self.work,
+        let word = Observation::Crash {
+            fingerprint: self.work,
             upstream: self.to.tag,
             at: self.at,
             in_trial: self.in_trial,
         };
-        if super::take(&self.gateway, word, Source::Own, true) == Change::Same {
+        if super::take(&self.gateway, word, Source::Local, true) == Change::Unchanged {
             return;
         }
         emit(&Event::UpstreamWentDark {
@@ -142,7 +142,7 @@
             work: self.work.to_string(),
             upstream: &self.upstream,
             in_trial: self.in_trial,
-            ends: self.gateway.crashes.lock().counted(self.work),
+            ends: self.gateway.crashes.lock().crash_count(self.work),
         });
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -19,7 +19,7 @@
 use net::{HeadLimits, Meter, Stop};
 use observe::Metrics;
 use platform::{CallCounts, Host};
-use resilience::Budget;
+use resilience::RetryBudget;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
     /// Since when these routes are in force.
     config_since: Mutex<Option<Instant>>,
     fleet: Mutex<Fleet>,
-    budgets: Mutex<Vec<(ServiceKey, Budget)>>,
+    budgets: Mutex<Vec<(ServiceKey, RetryBudget)>>,
     registry: Mutex<Registry>,
     history: Mutex<History>,
     missing: Mutex<Missing>,
@@ -339,7 +339,7 @@
         }
         let slack = self.host().retry_slack;
         for (_, budget) in lock(&self.budgets).iter_mut() {
-            budget.share(slack, peers + 1);
+            budget.set_processes(slack, peers + 1);
         }
     }
 
@@ -349,13 +349,13 @@
     }
 
     /// Works on the retry budget of a service.
-    fn with_budget<T>(&self, service: ServiceKey, work: impl FnOnce(&mut Budget) -> T) -> T {
+    fn with_budget<T>(&self, service: ServiceKey, work: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = lock(&self.budgets);
         let at = budgets.binary_search_by_key(&service, |(s, _)| *s);
         let at = at.unwrap_or_else(|at| {
             let host = self.host();
             let (ratio, slack) = (host.retry_ratio, host.retry_slack);
-            let budget = Budget::new(ratio, slack, host.retry_window, self.processes());
+            let budget = RetryBudget::new(ratio, slack, host.retry_window, self.processes());
             budgets.insert(at, (service, budget));
             at
         });
@@ -364,12 +364,12 @@
 
     /// Notes a request for a service.
     pub fn earn_retry(&self, service: ServiceKey) {
-        self.with_budget(service, |b| b.earn(Instant::now()));
+        self.with_budget(service, |b| b.record_request(Instant::now()));
     }
 
     /// Takes a retry at a service, if there is one.
     pub fn spend_retry(&self, service: ServiceKey) -> bool {
-        self.with_budget(service, |b| b.spend(Instant::now()))
+        self.with_budget(service, |b| b.try_retry(Instant::now()))
     }
 
     /// Whether it takes new connections.
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -182,7 +182,7 @@
     fleet.note_parts(key, &prompt(), now);
     let upstream = fleet.get_mut(key).unwrap();
     for _ in 0..20 {
-        upstream.health.failed(1.0, now);
+        upstream.health.record_failure(1.0, now);
     }
     upstream.set_changing(now + Duration::from_secs(600), Stage::Prefill);
     upstream.running = 3;
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -5,9 +5,9 @@
 //! row as the planner read them. A planner that has lost its lease, paused or
 //! cut off as it may be, fails that condition; no clock decides.
 
-pub mod duty;
 pub mod lease;
+pub mod planner;
 pub mod policy;
 
-pub use duty::{DUTY, Duty};
-pub use lease::{Keeper, Standing};
+pub use lease::{LeaseManager, LeaseState};
+pub use planner::{DUTY, Planner};
--- a/crates/plan/src/duty.rs
+++ b/crates/plan/src/planner.rs
@@ -1,7 +1,7 @@
 //! The planner's task for one service.
 
-use crate::lease::{Keeper, Standing};
-use crate::policy::{Engine, NewOrder, any_to_change, orders};
+use crate::lease::{LeaseManager, LeaseState};
+use crate::policy::{Engine, NewOrder, has_changes, new_orders};
 use conf::Upstream;
 use hyper::Method;
 use net::{Meter, Peer, Stop};
@@ -22,15 +22,15 @@
 /// Longest wait for an agent's status.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 /// Largest status.
-const MAX_STATUS: usize = 64 << 10;
+const MAX_STATUS_BYTES: usize = 64 << 10;
 /// Longest that rows of the desired state are kept in mind, should an operator mend one by hand.
-const READ_AGAIN: Duration = Duration::from_secs(60);
+const REREAD_AFTER: Duration = Duration::from_secs(60);
 /// Renewals in the time after which a lease counts as stale.
-const RENEWALS: u32 = 3;
+const RENEWALS_UNTIL_STALE: u32 = 3;
 
 /// The planner's task for one service in one process.
 #[derive(Debug)]
-pub struct Duty<T> {
+pub struct Planner<T> {
     /// The table service.
     pub table: T,
     /// The documents in force.
@@ -51,43 +51,43 @@
 
 /// What the planner keeps in mind while it holds the lease.
 #[derive(Debug, Default)]
-struct Memory {
+struct Cache {
     /// Connections to agents, sorted by address.
     peers: Vec<Peer>,
     /// The engines with their rows of the desired state. Only the holder of the lease writes
     /// these rows, so they need no reading again until a write goes astray.
     engines: Vec<Engine>,
     /// Version of the document that `engines` is of, and when it was read.
-    read: Option<(u64, Instant)>,
+    engines_read: Option<(u64, Instant)>,
 }
 
-impl Memory {
+impl Cache {
     fn is_fresh(&self, version: u64, now: Instant) -> bool {
-        let fresh = |(v, at): (u64, Instant)| v == version && now - at < READ_AGAIN;
-        self.read.is_some_and(fresh)
+        let fresh = |(v, at): (u64, Instant)| v == version && now - at < REREAD_AFTER;
+        self.engines_read.is_some_and(fresh)
     }
 }
 
-impl<T: Table> Duty<T> {
+impl<T: Table> Planner<T> {
     /// Runs until the stop signal.
     pub async fn run(mut self) {
         let key = lease_key(DUTY, &self.service);
-        let mut keeper = Keeper::new(key, self.holder.clone(), self.stale_after);
-        let mut memory = Memory::default();
-        let every = self.stale_after / RENEWALS;
+        let mut lease_manager = LeaseManager::new(key, self.holder.clone(), self.stale_after);
+        let mut cache = Cache::default();
+        let every = self.stale_after / RENEWALS_UNTIL_STALE;
         while !self.stop.is_stopped() {
-            let before = epoch(&keeper);
-            self.look(&mut keeper, &mut memory).await;
-            self.tell(before, epoch(&keeper));
+            let before = held_epoch(&lease_manager);
+            self.run_once(&mut lease_manager, &mut cache).await;
+            self.log_lease_change(before, held_epoch(&lease_manager));
             tokio::select! {
                 () = tokio::time::sleep(around(every)) => {}
                 () = self.stop.stopped() => {}
             }
         }
-        keeper.give_up(&self.table).await;
+        lease_manager.release(&self.table).await;
     }
 
-    async fn look(&mut self, keeper: &mut Keeper, memory: &mut Memory) {
+    async fn run_once(&mut self, lease_manager: &mut LeaseManager, cache: &mut Cache) {
         let Some(doc) = self.documents.get(&self.service) else {
             return;
         };
@@ -95,42 +95,43 @@
         if !doc.doc.is_engine() {
             return;
         }
-        match keeper.standing() {
-            Standing::Watching => {
-                memory.read = None;
+        match lease_manager.state() {
+            LeaseState::NotHeld => {
+                cache.engines_read = None;
                 let rows = self.leases.borrow_and_update().clone();
-                let row = rows.iter().find(|r| r.key == keeper.key());
-                if keeper.may_take(row, Instant::now()) {
-                    keeper.take(&self.table, row).await;
+                let row = rows.iter().find(|r| r.key == lease_manager.key());
+                if lease_manager.can_acquire(row, Instant::now()) {
+                    lease_manager.acquire(&self.table, row).await;
                 }
             }
-            Standing::Holding { .. } => keeper.renew(&self.table).await,
+            LeaseState::Held { .. } => lease_manager.renew(&self.table).await,
         }
-        let Standing::Holding { lease, version } = keeper.standing().clone() else {
+        let LeaseState::Held { lease, version } = lease_manager.state().clone() else {
             return;
         };
-        if !memory.is_fresh(doc.version, Instant::now()) {
+        if !cache.is_fresh(doc.version, Instant::now()) {
             let Some(engines) = self.read_engines(&doc).await else {
                 return;
             };
-            memory.engines = engines;
-            memory.read = Some((doc.version, Instant::now()));
+            cache.engines = engines;
+            cache.engines_read = Some((doc.version, Instant::now()));
         }
-        if any_to_change(&doc.doc, &memory.engines) {
-            self.ask_all(&doc, memory).await;
-            for order in orders(&doc.doc, &memory.engines, lease.epoch) {
-                self.write(keeper.key(), version, memory, order).await;
+        if has_changes(&doc.doc, &cache.engines) {
+            self.fetch_statuses(&doc, cache).await;
+            for order in new_orders(&doc.doc, &cache.engines, lease.epoch) {
+                self.write_order(lease_manager.key(), version, cache, order)
+                    .await;
             }
         }
     }
 
     /// Reads the engines' rows of the desired state; none while the store is down.
     async fn read_engines(&self, doc: &InForce) -> Option<Vec<Engine>> {
-        let ups = &doc.doc.upstreams;
+        let upstreams = &doc.doc.upstreams;
         let key = |name: &str| desired_key(&self.service, name);
         let rows = self
             .table
-            .read(ups.iter().map(|u| key(&u.name)).collect())
+            .read(upstreams.iter().map(|u| key(&u.name)).collect())
             .await
             .ok()?;
         let engine = |u: &Upstream| {
@@ -143,33 +144,33 @@
                 status: None,
             }
         };
-        Some(ups.iter().map(engine).collect())
+        Some(upstreams.iter().map(engine).collect())
     }
 
     /// Asks the agents of engines that have an order how they stand, all at
     /// once: a silent one must not hold up the renewal of the lease.
-    async fn ask_all(&self, doc: &InForce, memory: &mut Memory) {
-        let mut asking = JoinSet::new();
-        for (at, e) in memory
+    async fn fetch_statuses(&self, doc: &InForce, cache: &mut Cache) {
+        let mut requests = JoinSet::new();
+        for (at, e) in cache
             .engines
             .iter()
             .enumerate()
             .filter(|(_, e)| e.desired.is_some())
         {
-            let peer = peer(&mut memory.peers, e.agent, &self.meter).clone();
-            asking.spawn(async move { (at, status(&peer).await) });
+            let peer = peer(&mut cache.peers, e.agent, &self.meter).clone();
+            requests.spawn(async move { (at, fetch_status(&peer).await) });
         }
-        while let Some(asked) = asking.join_next().await {
+        while let Some(result) = requests.join_next().await {
             // A task that panicked was reported; its engine counts as silent.
-            let Ok((at, status)) = asked else { continue };
-            memory.engines[at].status = status;
+            let Ok((at, status)) = result else { continue };
+            cache.engines[at].status = status;
         }
-        let named: Vec<SocketAddr> = doc.doc.upstreams.iter().map(|u| u.agent).collect();
-        memory.peers.retain(|p| named.contains(&p.addr()));
+        let agents: Vec<SocketAddr> = doc.doc.upstreams.iter().map(|u| u.agent).collect();
+        cache.peers.retain(|p| agents.contains(&p.addr()));
     }
 
-    async fn write(&self, lease: &str, version: u64, memory: &mut Memory, order: NewOrder) {
-        let engine = &mut memory.engines[order.engine];
+    async fn write_order(&self, lease: &str, version: u64, cache: &mut Cache, order: NewOrder) {
+        let engine = &mut cache.engines[order.engine];
         let key = desired_key(&self.service, &engine.name);
         let txn = order_txn((lease, version), (&key, engine.version), &order.desired);
         match self.table.commit(&txn).await {
@@ -184,18 +185,18 @@
                 engine.version = version;
                 // What it said before is about the order before.
                 engine.status = None;
-                let peer = peer(&mut memory.peers, engine.agent, &self.meter).clone();
+                let peer = peer(&mut cache.peers, engine.agent, &self.meter).clone();
                 // Not waited for: a silent agent must not hold up the lease.
                 tokio::spawn(async move { nudge(&peer).await });
             }
             // Nothing was written, or nobody knows: the rows are read again.
             Err(WriteError::Refused(_) | WriteError::Unavailable(_) | WriteError::Unknown(_)) => {
-                memory.read = None;
+                cache.engines_read = None;
             }
         }
     }
 
-    fn tell(&self, before: Option<u64>, after: Option<u64>) {
+    fn log_lease_change(&self, before: Option<u64>, after: Option<u64>) {
         match (before, after) {
             (None, Some(epoch)) => emit(&Event::LeaseTaken {
                 service: &self.service,
@@ -220,10 +221,10 @@
         .put(row.0, encode(desired))
 }
 
-fn epoch(keeper: &Keeper) -> Option<u64> {
-    match keeper.standing() {
-        Standing::Watching => None,
-        Standing::Holding { lease, .. } => Some(lease.epoch),
+fn held_epoch(lease_manager: &LeaseManager) -> Option<u64> {
+    match lease_manager.state() {
+        LeaseState::NotHeld => None,
+        LeaseState::Held { lease, .. } => Some(lease.epoch),
     }
 }
 
@@ -239,13 +240,13 @@
     &peers[at]
 }
 
-async fn status(peer: &Peer) -> Option<AgentStatus> {
+async fn fetch_status(peer: &Peer) -> Option<AgentStatus> {
     let answer = peer
         .call(
             Method::GET,
             PATH_STATUS,
             Vec::new(),
-            MAX_STATUS,
+            MAX_STATUS_BYTES,
             STATUS_TIMEOUT,
         )
         .await;
@@ -258,7 +259,7 @@
         Method::POST,
         PATH_NUDGE,
         Vec::new(),
-        MAX_STATUS,
+        MAX_STATUS_BYTES,
         STATUS_TIMEOUT,
     );
     // A nudge that is lost costs a few seconds, nothing else.
--- a/crates/plan/src/policy.rs
+++ b/crates/plan/src/policy.rs
@@ -6,7 +6,7 @@
 use wire::{AgentState, AgentStatus, Model, Role};
 
 /// Part of a service's engines that may be in a planned change at once.
-const PART_IN_CHANGE: usize = 4;
+const CHANGING_DIVISOR: usize = 4;
 
 /// An engine, as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,37 +37,37 @@
 /// An engine with no order gets its first at once. A change of model goes
 /// through the engines a bounded part at a time, and the next part waits until
 /// the changed ones serve again.
-pub fn orders(doc: &Doc, engines: &[Engine], epoch: u64) -> Vec<NewOrder> {
-    let Some(model) = desired(doc) else {
+pub fn new_orders(doc: &Doc, engines: &[Engine], epoch: u64) -> Vec<NewOrder> {
+    let Some(model) = desired_model(doc) else {
         return Vec::new();
     };
-    let mut out = Vec::new();
-    let mut room = (engines.len() / PART_IN_CHANGE).max(1);
-    room = room.saturating_sub(engines.iter().filter(|e| in_change(e)).count());
+    let mut orders = Vec::new();
+    let mut available = (engines.len() / CHANGING_DIVISOR).max(1);
+    available = available.saturating_sub(engines.iter().filter(|e| is_changing(e)).count());
     for (engine, e) in engines.iter().enumerate() {
         let why = match &e.desired {
             None => "first order".to_owned(),
-            Some(w) if w.model == model => continue,
-            Some(_) if room == 0 => continue,
-            Some(w) => {
-                room -= 1;
-                format!("document wants {model} in place of {}", w.model)
+            Some(previous) if previous.model == model => continue,
+            Some(_) if available == 0 => continue,
+            Some(previous) => {
+                available -= 1;
+                format!("document wants {model} in place of {}", previous.model)
             }
         };
         let desired = Desired {
-            role: e.desired.as_ref().map_or(Role::Mixed, |w| w.role),
+            role: e.desired.as_ref().map_or(Role::Mixed, |d| d.role),
             model: model.clone(),
             epoch,
-            order: e.desired.as_ref().map_or(0, |w| w.order) + 1,
+            order: e.desired.as_ref().map_or(0, |d| d.order) + 1,
             why,
         };
-        out.push(NewOrder { engine, desired });
+        orders.push(NewOrder { engine, desired });
     }
-    out
+    orders
 }
 
 /// The model that the document desired_rows; none if the service has no engines.
-fn desired(doc: &Doc) -> Option<Model> {
+fn desired_model(doc: &Doc) -> Option<Model> {
     let Kind::Engine(model) = &doc.kind else {
         return None;
     };
@@ -80,19 +80,19 @@
 
 /// Whether any engine is desired otherwise than the document says. If not, there
 /// is nothing to order, and nobody needs to be asked.
-pub fn any_to_change(doc: &Doc, engines: &[Engine]) -> bool {
-    let Some(model) = desired(doc) else {
+pub fn has_changes(doc: &Doc, engines: &[Engine]) -> bool {
+    let Some(model) = desired_model(doc) else {
         return false;
     };
-    let fits = |w: &Desired| w.model == model;
+    let is_current = |desired: &Desired| desired.model == model;
     engines
         .iter()
-        .any(|e| !e.desired.as_ref().is_some_and(fits))
+        .any(|e| !e.desired.as_ref().is_some_and(is_current))
 }
 
 /// Whether an engine was ordered to change and doesn't serve as desired yet. One
 /// whose agent doesn't answer counts: nobody knows when it serves again.
-fn in_change(e: &Engine) -> bool {
+fn is_changing(e: &Engine) -> bool {
     let Some(desired) = &e.desired else {
         return false;
     };
--- a/crates/plan/tests/policy.rs
+++ b/crates/plan/tests/policy.rs
@@ -1,7 +1,7 @@
 //! What is desired of the engines.
 
 use conf::Doc;
-use plan::policy::{Engine, any_to_change, orders};
+use plan::policy::{Engine, has_changes, new_orders};
 use store::rows::Desired;
 use wire::{AgentState, AgentStatus, Model, Role};
 
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn engines_without_an_order_get_their_first_at_once() {
+fn engines_without_an_order_get_one_immediately() {
     let engines: Vec<Engine> = (0..8).map(|i| engine(i, None, true)).collect();
-    let got = orders(&doc(1), &engines, EPOCH);
+    let got = new_orders(&doc(1), &engines, EPOCH);
     assert_eq!(got.len(), 8);
     assert!(
         got.iter()
@@ -69,16 +69,16 @@
 }
 
 #[test]
-fn nothing_to_change_is_nothing_to_order() {
+fn unchanged_engines_get_no_orders() {
     let engines: Vec<Engine> = (0..8).map(|i| engine(i, Some(1), true)).collect();
-    assert!(!any_to_change(&doc(1), &engines));
-    assert!(orders(&doc(1), &engines, EPOCH).is_empty());
+    assert!(!has_changes(&doc(1), &engines));
+    assert!(new_orders(&doc(1), &engines, EPOCH).is_empty());
 }
 
 #[test]
-fn a_change_of_model_goes_a_quarter_at_a_time() {
+fn a_model_change_is_rolled_out_to_a_quarter_at_a_time() {
     let mut engines: Vec<Engine> = (0..8).map(|i| engine(i, Some(1), true)).collect();
-    let got = orders(&doc(2), &engines, EPOCH);
+    let got = new_orders(&doc(2), &engines, EPOCH);
     assert_eq!(got.len(), 2);
     assert!(
         got.iter()
@@ -87,19 +87,19 @@
     engines[0] = engine(0, Some(2), false);
     engines[1] = engine(1, Some(2), true);
     assert_eq!(
-        orders(&doc(2), &engines, EPOCH).len(),
+        new_orders(&doc(2), &engines, EPOCH).len(),
         1,
         "one is still in its change"
     );
     engines[1].status = None;
     assert!(
-        orders(&doc(2), &engines, EPOCH).is_empty(),
+        new_orders(&doc(2), &engines, EPOCH).is_empty(),
         "an agent that is silent counts"
     );
 }
 
 #[test]
-fn an_adapter_in_the_document_is_a_change_of_the_engine() {
+fn an_adapter_added_to_the_document_changes_the_engines() {
     let engines: Vec<Engine> = (0..8).map(|i| engine(i, Some(1), true)).collect();
     let mut doc = doc(1);
     doc.kind = conf::Kind::Engine(conf::Model {
@@ -107,8 +107,8 @@
         version: 1,
         adapters: vec!["nl".into()],
     });
-    assert!(any_to_change(&doc, &engines));
-    let got = orders(&doc, &engines, EPOCH);
+    assert!(has_changes(&doc, &engines));
+    let got = new_orders(&doc, &engines, EPOCH);
     assert_eq!(got.len(), 2);
     assert_eq!(got[0].desired.model.to_string(), "m@1+nl");
 }
--- a/crates/quota/src/lending.rs
+++ b/crates/quota/src/lending.rs
@@ -222,8 +222,8 @@
 
     /// Adds a share that a host lent in answer to a request.
     pub fn receive_share(&mut self, from: IpAddr, round: u64, share: f64, now: Instant) {
-        let begun = self.rounds.iter().find(|(number, _, _)| *number == round);
-        let Some((_, at, lease)) = begun.copied().filter(|_| from != self.ip) else {
+        let known_round = self.rounds.iter().find(|(number, _, _)| *number == round);
+        let Some((_, at, lease)) = known_round.copied().filter(|_| from != self.ip) else {
             return;
         };
         // Guards against an invalid value from a peer.
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -208,8 +208,8 @@
         submit_requests(sim, requests_per_s(0.55), COST, |sim| sim.random_host(31));
     });
     assert!(sim.max_window_usage() <= strict_window_bound(limit()));
-    let asked = sim.granted() + sim.refused() as f64 * COST;
-    let served = sim.granted() / asked;
+    let requested = sim.granted() + sim.refused() as f64 * COST;
+    let served = sim.granted() / requested;
     assert!(served >= 0.98, "{served}");
 }
 
@@ -224,8 +224,8 @@
     sim.run(4_000, |sim| {
         submit_requests(sim, requests_per_s(0.55), COST, |sim| sim.random_host(31));
     });
-    let asked = sim.granted() + sim.refused() as f64 * COST;
-    let served = sim.granted() / asked;
+    let requested = sim.granted() + sim.refused() as f64 * COST;
+    let served = sim.granted() / requested;
     assert!(served >= 0.95, "{served}");
 }
 
@@ -238,7 +238,7 @@
     sim.run(16_000, |sim| {
         submit_requests(sim, requests_per_s(0.55), COST, |sim| sim.random_host(31));
     });
-    let asked = sim.granted() + sim.refused() as f64 * COST;
-    let served = sim.granted() / asked;
+    let requested = sim.granted() + sim.refused() as f64 * COST;
+    let served = sim.granted() / requested;
     assert!(served >= 0.98, "{served}");
 }
--- a/crates/quota/tests/sim/mod.rs
+++ b/crates/quota/tests/sim/mod.rs
@@ -348,10 +348,10 @@
         let own = self.hosts[host].zone;
         let others = (0..self.hosts.len()).filter(|h| self.hosts[*h].zone != own);
         let others = others.filter(|h| self.hosts[*h].lending.is_grantor());
-        let mut asked = vec![host];
-        asked.extend((0..self.hosts.len()).find(|h| Some(ip(*h)) == grantor));
-        asked.extend(others);
-        let is_granted = asked
+        let mut targets = vec![host];
+        targets.extend((0..self.hosts.len()).find(|h| Some(ip(*h)) == grantor));
+        targets.extend(others);
+        let is_granted = targets
             .into_iter()
             .any(|at| self.spend(host, at, cost) == Some(true));
         self.refused += usize::from(!is_granted);
--- a/crates/resilience/src/budget.rs
+++ b/crates/resilience/src/budget.rs
@@ -9,55 +9,55 @@
 
 /// Part of the bound that is used. The rest covers requests that one process
 /// counts in its window and the other side in the next.
-const USED: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 /// Windows are kept as so many buckets.
 const BUCKETS: u32 = 20;
 
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
-    from: Instant,
+    started_at: Instant,
     requests: u32,
     retries: u32,
 }
 
 /// Requests and retries of one service over the window.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     window: Duration,
     buckets: VecDeque<Bucket>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget with the bounds that hold for all processes together, of which
     /// this is one of `processes`.
     pub fn new(ratio: f64, slack: f64, window: Duration, processes: u32) -> Self {
         Self {
-            ratio: ratio * USED,
-            slack: slack * USED / f64::from(processes.max(1)),
+            ratio: ratio * USED_FRACTION,
+            slack: slack * USED_FRACTION / f64::from(processes.max(1)),
             window,
             buckets: VecDeque::new(),
         }
     }
 
     /// Takes another number of processes that share the bound.
-    pub fn share(&mut self, slack: f64, processes: u32) {
-        self.slack = slack * USED / f64::from(processes.max(1));
+    pub fn set_processes(&mut self, slack: f64, processes: u32) {
+        self.slack = slack * USED_FRACTION / f64::from(processes.max(1));
     }
 
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
         while let Some(first) = self.buckets.front() {
-            if now.saturating_duration_since(first.from) <= self.window {
+            if now.saturating_duration_since(first.started_at) <= self.window {
                 break;
             }
             self.buckets.pop_front();
         }
         let width = self.window / BUCKETS;
         let last = self.buckets.back();
-        if last.is_none_or(|b| now.saturating_duration_since(b.from) > width) {
+        if last.is_none_or(|b| now.saturating_duration_since(b.started_at) > width) {
             self.buckets.push_back(Bucket {
-                from: now,
+                started_at: now,
                 requests: 0,
                 retries: 0,
             });
@@ -67,12 +67,12 @@
     }
 
     /// Notes a request.
-    pub fn earn(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.bucket(now).requests += 1;
     }
 
     /// Takes a retry, if the window has one left.
-    pub fn spend(&mut self, now: Instant) -> bool {
+    pub fn try_retry(&mut self, now: Instant) -> bool {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|b| b.requests).sum();
         let retries: u32 = self.buckets.iter().map(|b| b.retries).sum();
--- a/crates/resilience/src/health.rs
+++ b/crates/resilience/src/health.rs
@@ -7,60 +7,64 @@
 use std::time::{Duration, Instant};
 
 /// Weight of the newest request in the share of failures. A quarter reaches
-/// [`SUSPEND_OVER`] after three failures in a row, which an upstream with one
+/// [`SUSPEND_THRESHOLD`] after three failures in a row, which an upstream with one
 /// failure in fifty does once in a hundred thousand requests.
-const NEWEST: f64 = 0.25;
+const NEWEST_WEIGHT: f64 = 0.25;
 /// Share of failures over which an upstream is suspended.
-const SUSPEND_OVER: f64 = 0.55;
+const SUSPEND_THRESHOLD: f64 = 0.55;
 /// First suspension. A burst of failures that a restart explains is over by then.
-const FIRST: Duration = Duration::from_millis(500);
+const MIN_SUSPENSION: Duration = Duration::from_millis(500);
 /// Longest suspension: a mended upstream waits no longer for its first request.
-const LONGEST: Duration = Duration::from_secs(4);
+const MAX_SUSPENSION: Duration = Duration::from_secs(4);
 
 /// What came of the last requests to an upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    failures: f64,
-    until: Option<Instant>,
-    last: Duration,
+    failure_rate: f64,
+    suspended_until: Option<Instant>,
+    last_suspension: Duration,
 }
 
 /// An upstream has just been suspended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Suspended {
+pub struct Suspension {
     /// Share of failures that led to it.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// For how long.
-    pub pause: Duration,
+    pub duration: Duration,
 }
 
 impl Health {
     /// Notes an answer.
-    pub fn succeeded(&mut self) {
-        self.failures *= 1.0 - NEWEST;
-        if self.failures < SUSPEND_OVER / 4.0 {
-            self.last = Duration::ZERO;
+    pub fn record_success(&mut self) {
+        self.failure_rate *= 1.0 - NEWEST_WEIGHT;
+        if self.failure_rate < SUSPEND_THRESHOLD / 4.0 {
+            self.last_suspension = Duration::ZERO;
         }
     }
 
     /// Notes a failure by its weight in the share of failures, from 0 to 1; says so
     /// if the upstream is suspended by it.
-    pub fn failed(&mut self, weight: f64, now: Instant) -> Option<Suspended> {
-        self.failures += (1.0 - self.failures) * weight.clamp(0.0, 1.0);
-        if self.failures < SUSPEND_OVER || self.is_suspended(now) {
+    pub fn record_failure(&mut self, weight: f64, now: Instant) -> Option<Suspension> {
+        self.failure_rate += (1.0 - self.failure_rate) * weight.clamp(0.0, 1.0);
+        if self.failure_rate < SUSPEND_THRESHOLD || self.is_suspended(now) {
             return None;
         }
-        let pause = (self.last * 2).clamp(FIRST, LONGEST);
-        let failures = self.failures;
-        self.last = pause;
-        self.until = Some(now + pause);
+        let duration = (self.last_suspension * 2).clamp(MIN_SUSPENSION, MAX_SUSPENSION);
+        let failure_rate = self.failure_rate;
+        self.last_suspension = duration;
+        self.suspended_until = Some(now + duration);
         // The next failure after the pause suspends it again.
-        self.failures = SUSPEND_OVER - NEWEST / 4.0;
-        Some(Suspended { failures, pause })
+        self.failure_rate = SUSPEND_THRESHOLD - NEWEST_WEIGHT / 4.0;
+        Some(Suspension {
+            failure_rate,
+            duration,
+        })
     }
 
     /// Whether it gets no requests at a time.
     pub fn is_suspended(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.suspended_until
+            .is_some_and(|suspended_until| now < suspended_until)
     }
 }
--- a/crates/resilience/src/lib.rs
+++ b/crates/resilience/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod fingerprint;
 pub mod health;
 
-pub use budget::Budget;
-pub use crashes::{Crashes, Verdict};
+pub use budget::RetryBudget;
+pub use crashes::{CrashTracker, Verdict};
 pub use fingerprint::Fingerprint;
-pub use health::{Health, Suspended};
+pub use health::{Health, Suspension};
--- a/crates/resilience/tests/limits.rs
+++ b/crates/resilience/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use resilience::{Budget, Health};
+use resilience::{Health, RetryBudget};
 use std::time::{Duration, Instant};
 
 /// A runner with a fixed seed: the same cases each time.
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn the_budget_keeps_to_its_share_over_any_window() {
+fn retries_stay_within_the_budget_in_every_window() {
     let steps = proptest::collection::vec((0u64..400, any::<bool>()), 1..400);
     runner()
         .run(&(steps, 1u32..6), |(steps, processes)| {
             let window = Duration::from_secs(10);
-            let mut budget = Budget::new(0.2, 54.0, window, processes);
+            let mut budget = RetryBudget::new(0.2, 54.0, window, processes);
             let start = Instant::now();
             let mut at = Duration::ZERO;
             let mut requests: Vec<Duration> = Vec::new();
@@ -25,9 +25,9 @@
             for (pause, is_retry) in steps {
                 at += Duration::from_millis(pause);
                 if !is_retry {
-                    budget.earn(start + at);
+                    budget.record_request(start + at);
                     requests.push(at);
-                } else if budget.spend(start + at) {
+                } else if budget.try_retry(start + at) {
                     retries.push(at);
                 }
                 let from = at.saturating_sub(window);
@@ -44,16 +44,16 @@
 }
 
 #[test]
-fn a_worker_that_fails_is_suspended_longer_each_time_and_a_sound_one_never() {
+fn failing_upstreams_are_suspended_longer_each_time_and_healthy_ones_never() {
     let start = Instant::now();
     let mut health = Health::default();
     let mut pauses = Vec::new();
     let mut now = start;
     for _ in 0..12 {
-        if let Some(s) = health.failed(0.25, now) {
-            pauses.push(s.pause);
+        if let Some(s) = health.record_failure(0.25, now) {
+            pauses.push(s.duration);
             assert!(health.is_suspended(now));
-            now += s.pause;
+            now += s.duration;
             assert!(!health.is_suspended(now));
         }
     }
@@ -65,9 +65,9 @@
     let mut health = Health::default();
     for n in 0..5000 {
         if n % 7 == 0 {
-            assert!(health.failed(0.06, start).is_none());
+            assert!(health.record_failure(0.06, start).is_none());
         } else {
-            health.succeeded();
+            health.record_success();
         }
     }
 }
--- a/crates/soak/src/deadly.rs
+++ b/crates/soak/src/deadly.rs
@@ -4,7 +4,7 @@
 use crate::keys::Key;
 use crate::scene::{DEADLY, Scene};
 use resilience::Fingerprint;
-use resilience::crashes::LIMIT;
+use resilience::crashes::BLOCK_THRESHOLD;
 use standin::fixture::{HOST, request};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -94,7 +94,7 @@
     let ends = rows
         .iter()
         .filter(|key| key.starts_with(&format!("{work}/end/")));
-    ends.count() >= LIMIT
+    ends.count() >= BLOCK_THRESHOLD
 }
 
 fn addresses(scene: &Scene) -> Vec<SocketAddr> {
