--- a/crates/plan/src/lease.rs
+++ b/crates/plan/src/lease.rs
@@ -1,28 +1,28 @@
-//! Holding and taking over a lease.
+//! Acquires, renews and releases a lease that is stored in a table row.
 
 use std::time::{Duration, Instant};
 use store::retry::jitter;
 use store::rows::{Lease, decode, encode};
 use store::{Row, Table, Token, Txn, WriteError};
 
-/// Holder of a lease that was given up.
+/// Holder in the row of a released lease.
 pub const NO_HOLDER: &str = "";
 
-/// What this process knows of a lease.
+/// State of a lease, as known to this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseState {
-    /// Another holds it, or nobody does.
+    /// Another process holds the lease, or none does.
     NotHeld,
-    /// This process held it when it last looked.
+    /// This process held the lease at its last read or write.
     Held {
         /// The lease.
         lease: Lease,
-        /// Version of the row that it wrote last.
+        /// Version of the row that this process wrote last.
         version: u64,
     },
 }
 
-/// Keeps one lease for one process.
+/// Manages a lease for a process.
 #[derive(Debug)]
 pub struct LeaseManager {
     key: String,
@@ -33,8 +33,8 @@
 }
 
 impl LeaseManager {
-    /// A keeper of the lease row `key` for `holder`. Another's lease may be
-    /// taken once its row has stood still for `stale_after` on our own clock.
+    /// Creates a manager of the lease in row `key` for `holder`. The lease of another holder can
+    /// be acquired once its row hasn't changed for `stale_after`, measured by the local clock.
     pub fn new(key: String, holder: String, stale_after: Duration) -> Self {
         Self {
             key,
@@ -45,17 +45,17 @@
         }
     }
 
-    /// What this process knows of the lease.
+    /// State of the lease, as known to this process.
     pub fn state(&self) -> &LeaseState {
         &self.state
     }
 
-    /// The row's key.
+    /// Key of the lease row.
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// Looks at the row as it was read at `now`; says whether it may be taken over.
+    /// Whether the lease can be acquired, given its row as read at `now`.
     pub fn can_acquire(&mut self, row: Option<&Row>, now: Instant) -> bool {
         if row.is_some_and(|r| decode::<Lease>(&r.value).is_none_or(|l| l.holder == NO_HOLDER)) {
             return true;
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Takes the lease over from the row as it was read. Whoever writes first has it.
+    /// Tries to acquire the lease, given its row as read. The first process to write wins.
     pub async fn acquire<T: Table>(&mut self, table: &T, row: Option<&Row>) {
-        // Those that saw the same row stand still don't all write at once.
+        // Spreads the writes of processes that find the lease stale at the same time.
         tokio::time::sleep(jitter(self.stale_after / 4)).await;
         let old = row.and_then(|r| decode::<Lease>(&r.value));
         let epoch = old.map_or(0, |l| l.epoch) + 1;
@@ -86,7 +86,7 @@
         self.write(table, lease, row.map_or(0, |r| r.version)).await;
     }
 
-    /// Renews the lease that is held. A lost one leaves the standing at watching.
+    /// Renews the lease if it is held. If it was lost, the state becomes `NotHeld`.
     pub async fn renew<T: Table>(&mut self, table: &T) {
         let LeaseState::Held { lease, version } = self.state.clone() else {
             return;
@@ -98,8 +98,8 @@
         self.write(table, lease, version).await;
     }
 
-    /// Gives the lease up, as when the process stops, so that another can take
-    /// it at once. The row stays, so that epochs go on rising.
+    /// Releases the lease before the process exits, so that another can acquire it immediately.
+    /// The row remains, so that epochs continue to increase.
     pub async fn release<T: Table>(&mut self, table: &T) {
         let LeaseState::Held { lease, version } = self.state.clone() else {
             return;
@@ -112,7 +112,7 @@
             .check(&self.key, version)
             .put(&self.key, encode(&free));
         self.state = LeaseState::NotHeld;
-        // If this fails the lease goes stale, and is taken then.
+        // If this fails, another process acquires the lease when it becomes stale.
         let _ = table.commit(&txn).await;
     }
 
@@ -123,17 +123,17 @@
         match table.commit(&txn).await {
             Ok(version) => self.state = LeaseState::Held { lease, version },
             Err(WriteError::Refused(_)) => self.state = LeaseState::NotHeld,
-            // Not written: what was held is held still, as far as we know.
+            // Not written, so the lease is still held as far as is known.
             Err(WriteError::Unavailable(_)) => {}
             Err(WriteError::Unknown(_)) => self.resolve_unknown(table, lease, txn.token).await,
         }
     }
 
-    /// Settles a write whose outcome is unknown by reading the row back.
+    /// Determines the outcome of a write by reading the row.
     async fn resolve_unknown<T: Table>(&mut self, table: &T, lease: Lease, token: Token) {
         let Ok(rows) = table.read(vec![self.key.clone()]).await else {
-            // Nobody knows. The next renewal is conditional on the version
-            // before this write, and is refused if the write took effect.
+            // Still unknown. The next renewal is conditional on the version before this write,
+            // and is refused if the write took effect.
             return;
         };
         match rows.first() {
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,9 +1,9 @@
-//! The planner's duty: for each service with engines, one entry process holds a
-//! lease and writes what is desired of each engine.
+//! Planner: for each service with engines, one entry process holds a lease and writes the
+//! desired state of each engine.
 //!
-//! An order is a transaction that depends on the lease's row and on the desired
-//! row as the planner read them. A planner that has lost its lease, paused or
-//! cut off as it may be, fails that condition; no clock decides.
+//! An order is a transaction conditional on the versions of the lease row and of the engine's
+//! desired row that the planner read. The transaction of a planner that lost its lease while it
+//! was paused or partitioned is refused, independent of clocks.
 
 pub mod lease;
 pub mod planner;
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's task for one service.
+//! Task that holds a service's lease and writes the orders for its engines.
 
 use crate::lease::{LeaseManager, LeaseState};
 use crate::policy::{Engine, NewOrder, has_changes, new_orders};
@@ -16,48 +16,49 @@
 use tokio::task::JoinSet;
 use wire::{AgentStatus, PATH_NUDGE, PATH_STATUS};
 
-/// Name of the duty in its lease's key.
+/// Name of the planner in the keys of lease rows.
 pub const DUTY: &str = "plan";
 
-/// Longest wait for an agent's status.
+/// Timeout of a request for an agent's status.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest status.
+/// Maximum size of an agent's status.
 const MAX_STATUS_BYTES: usize = 64 << 10;
-/// Longest that rows of the desired state are kept in mind, should an operator mend one by hand.
+/// Time after which cached rows of the desired state are read again, in case an operator changed
+/// one by hand.
 const REREAD_AFTER: Duration = Duration::from_secs(60);
-/// Renewals in the time after which a lease counts as stale.
+/// Number of renewals in the time after which a lease is stale.
 const RENEWALS_UNTIL_STALE: u32 = 3;
 
-/// The planner's task for one service in one process.
+/// Planner of a service. Every entry process runs one, and the one with the lease is active.
 #[derive(Debug)]
 pub struct Planner<T> {
-    /// The table service.
+    /// Table that stores the lease and the orders.
     pub table: T,
-    /// The documents in force.
+    /// Current configuration documents.
     pub documents: Arc<Documents>,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// This process, by name and incarnation.
+    /// Name and incarnation of this process.
     pub holder: String,
-    /// How long a lease stands unrenewed before it may be taken.
+    /// Time without renewal after which another process may acquire the lease.
     pub stale_after: Duration,
-    /// The lease rows as they were last read, sorted by key.
+    /// Lease rows of the last read, sorted by key.
     pub leases: watch::Receiver<Vec<Row>>,
     /// Counts the bytes between the planner and agents.
     pub meter: Meter,
-    /// Ends the task; the lease is given up.
+    /// Signal to stop the task and release the lease.
     pub stop: Stop,
 }
 
-/// What the planner keeps in mind while it holds the lease.
+/// State that the planner caches while it holds the lease.
 #[derive(Debug, Default)]
 struct Cache {
     /// Connections to agents, sorted by address.
     peers: Vec<Peer>,
-    /// The engines with their rows of the desired state. Only the holder of the lease writes
-    /// these rows, so they need no reading again until a write goes astray.
+    /// Engines with their rows of the desired state. Only the lease holder writes these rows, so
+    /// they need not be read again before a write fails or has an unknown outcome.
     engines: Vec<Engine>,
-    /// Version of the document that `engines` is of, and when it was read.
+    /// Version of the document on which `engines` is based, and the time of the read.
     engines_read: Option<(u64, Instant)>,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl<T: Table> Planner<T> {
-    /// Runs until the stop signal.
+    /// Runs until the stop signal, then releases the lease.
     pub async fn run(mut self) {
         let key = lease_key(DUTY, &self.service);
         let mut lease_manager = LeaseManager::new(key, self.holder.clone(), self.stale_after);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Reads the engines' rows of the desired state; none while the store is down.
+    /// Reads the engines' rows of the desired state; `None` if the table is unavailable.
     async fn read_engines(&self, doc: &InForce) -> Option<Vec<Engine>> {
         let upstreams = &doc.doc.upstreams;
         let key = |name: &str| desired_key(&self.service, name);
@@ -147,8 +148,8 @@
         Some(upstreams.iter().map(engine).collect())
     }
 
-    /// Asks the agents of engines that have an order how they stand, all at
-    /// once: a silent one must not hold up the renewal of the lease.
+    /// Fetches the status of all engines that have an order from their agents. The requests run
+    /// concurrently, so that unresponsive agents don't delay the renewal of the lease.
     async fn fetch_statuses(&self, doc: &InForce, cache: &mut Cache) {
         let mut requests = JoinSet::new();
         for (at, e) in cache
@@ -161,7 +162,7 @@
             requests.spawn(async move { (at, fetch_status(&peer).await) });
         }
         while let Some(result) = requests.join_next().await {
-            // A task that panicked was reported; its engine counts as silent.
+            // A panic of the task was already reported; the engine's status stays unchanged.
             let Ok((at, status)) = result else { continue };
             cache.engines[at].status = status;
         }
@@ -183,13 +184,14 @@
                 });
                 engine.desired = Some(order.desired);
                 engine.version = version;
-                // What it said before is about the order before.
+                // The last status refers to the previous order.
                 engine.status = None;
                 let peer = peer(&mut cache.peers, engine.agent, &self.meter).clone();
-                // Not waited for: a silent agent must not hold up the lease.
+                // Runs in the background, as an unresponsive agent must not delay the renewal of
+                // the lease.
                 tokio::spawn(async move { nudge(&peer).await });
             }
-            // Nothing was written, or nobody knows: the rows are read again.
+            // Not written, or the outcome is unknown: the rows are read again.
             Err(WriteError::Refused(_) | WriteError::Unavailable(_) | WriteError::Unknown(_)) => {
                 cache.engines_read = None;
             }
@@ -211,9 +213,9 @@
     }
 }
 
-/// The transaction that is an order. It takes effect only while the lease's row
-/// has the version that its holder wrote last, and the row of the desired state the version that
-/// the planner goes by.
+/// Returns the transaction that writes an order. It is refused unless the lease row has the
+/// version that its holder wrote last, and the row of the desired state has the version that
+/// the planner read.
 pub fn order_txn(lease: (&str, u64), row: (&str, u64), desired: &Desired) -> Txn {
     Txn::new()
         .check(lease.0, lease.1)
@@ -228,7 +230,7 @@
     }
 }
 
-/// The kept connection to an agent; the list is sorted by address.
+/// Returns the connection to an agent, and adds it if necessary. The list is sorted by address.
 fn peer<'a>(peers: &'a mut Vec<Peer>, addr: SocketAddr, meter: &Meter) -> &'a Peer {
     let at = match peers.binary_search_by_key(&addr, Peer::addr) {
         Ok(at) => at,
@@ -253,7 +255,7 @@
     wire::decode(&answer.ok()?.1)
 }
 
-/// Tells an agent to look at its row of the desired state. It would look by itself a little later.
+/// Asks an agent to read its row of the desired state now instead of at its next poll.
 async fn nudge(peer: &Peer) {
     let call = peer.call(
         Method::POST,
@@ -262,6 +264,6 @@
         MAX_STATUS_BYTES,
         STATUS_TIMEOUT,
     );
-    // A nudge that is lost costs a few seconds, nothing else.
+    // If the request is lost, the agent reads the row a few seconds later.
     let _ = call.await;
 }
--- a/crates/plan/src/policy.rs
+++ b/crates/plan/src/policy.rs
@@ -1,42 +1,41 @@
-//! What is desired of the engines, as a function of what is known.
+//! Computes the orders to write from the document and the known state of the engines.
 
 use conf::{Doc, Kind};
 use std::net::SocketAddr;
 use store::rows::Desired;
 use wire::{AgentState, AgentStatus, Model, Role};
 
-/// Part of a service's engines that may be in a planned change at once.
+/// One in this many engines of a service, but at least one, may change at the same time.
 const CHANGING_DIVISOR: usize = 4;
 
-/// An engine, as the planner sees it.
+/// State of an engine, as known to the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub name: String,
-    /// Where its agent listens.
+    /// Address of its agent.
     pub agent: SocketAddr,
-    /// What was desired of it last, with the row's version; 0 if there is none.
+    /// Last order that was written; `None` if there is none.
     pub desired: Option<Desired>,
-    /// Version of the row of the desired state.
+    /// Version of the row of the desired state; 0 if there is none.
     pub version: u64,
-    /// What its agent says, if it answered.
+    /// Status that its agent reported; `None` if it didn't respond.
     pub status: Option<AgentStatus>,
 }
 
-/// An order to be written.
+/// An order to write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewOrder {
-    /// Place of the engine among those that were given.
+    /// Index of the engine in the list passed to [`new_orders`].
     pub engine: usize,
-    /// What is desired.
+    /// Desired state of the engine.
     pub desired: Desired,
 }
 
-/// Gives the orders to write now, under a lease of this epoch.
+/// Returns the orders to write now, with the epoch of the lease.
 ///
-/// An engine with no order gets its first at once. A change of model goes
-/// through the engines a bounded part at a time, and the next part waits until
-/// the changed ones serve again.
+/// Engines without an order get one immediately. A model change is rolled out gradually: only a
+/// fraction of the engines may be changing at a time, and others follow when those serve again.
 pub fn new_orders(doc: &Doc, engines: &[Engine], epoch: u64) -> Vec<NewOrder> {
     let Some(model) = desired_model(doc) else {
         return Vec::new();
@@ -66,7 +65,7 @@
     orders
 }
 
-/// The model that the document desired_rows; none if the service has no engines.
+/// The model that the document specifies; `None` if the service has no engines.
 fn desired_model(doc: &Doc) -> Option<Model> {
     let Kind::Engine(model) = &doc.kind else {
         return None;
@@ -78,8 +77,8 @@
     })
 }
 
-/// Whether any engine is desired otherwise than the document says. If not, there
-/// is nothing to order, and nobody needs to be asked.
+/// Whether the last order of any engine differs from the document. If not, there are no orders
+/// to write, and the agents need not be queried.
 pub fn has_changes(doc: &Doc, engines: &[Engine]) -> bool {
     let Some(model) = desired_model(doc) else {
         return false;
@@ -90,8 +89,8 @@
         .any(|e| !e.desired.as_ref().is_some_and(is_current))
 }
 
-/// Whether an engine was ordered to change and doesn't serve as desired yet. One
-/// whose agent doesn't answer counts: nobody knows when it serves again.
+/// Whether an engine has an order and doesn't serve as ordered yet. An engine whose agent doesn't
+/// respond counts as changing, as its state is unknown.
 fn is_changing(e: &Engine) -> bool {
     let Some(desired) = &e.desired else {
         return false;
--- a/crates/plan/tests/lease.rs
+++ b/crates/plan/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases and orders: one holder at a time, and no effect without the lease.
+//! A lease has at most one holder, and orders without the lease are refused.
 
 use fakes::serve::Standin;
 use fakes::table::TableStandin;
@@ -72,14 +72,15 @@
     let renewed = row(&table).await;
     assert!(
         !b.can_acquire(renewed.as_ref(), t0 + STALE * 2),
-        "the row has moved"
+        "the row has changed"
     );
     assert!(b.can_acquire(renewed.as_ref(), t0 + STALE * 4));
     b.acquire(&table, renewed.as_ref()).await;
     assert_eq!(held(&b).unwrap().0, 2);
 }
 
-/// The heart of it: the old holder was paused, knows nothing, and writes.
+/// The previous holder was paused while another process acquired the lease, and then writes an
+/// order without knowing of the loss.
 #[tokio::test]
 async fn an_order_under_a_lost_lease_is_refused() {
     let (_standin, table, _running) = start_table().await;
--- a/crates/plan/tests/policy.rs
+++ b/crates/plan/tests/policy.rs
@@ -1,4 +1,4 @@
-//! What is desired of the engines.
+//! Orders that the planner writes for new engines and for changed documents.
 
 use conf::Doc;
 use plan::policy::{Engine, has_changes, new_orders};
@@ -89,12 +89,12 @@
     assert_eq!(
         new_orders(&doc(2), &engines, EPOCH).len(),
         1,
-        "one is still in its change"
+        "one engine is still changing"
     );
     engines[1].status = None;
     assert!(
         new_orders(&doc(2), &engines, EPOCH).is_empty(),
-        "an agent that is silent counts"
+        "an engine with an unresponsive agent counts as changing"
     );
 }
 
--- a/crates/resilience/src/budget.rs
+++ b/crates/resilience/src/budget.rs
@@ -1,16 +1,15 @@
-//! The retry budget: what this process may send to a second upstream.
+//! Retry budget: limits the requests that a process sends again to another upstream.
 //!
-//! The bound holds for all processes together and over a sliding window. Each
-//! process keeps to a share: the ratio for its own requests, and a part of the
-//! fixed allowance.
+//! The limit applies to all processes together over a sliding window. Each process enforces
+//! the ratio for its own requests and an equal part of the fixed allowance.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Part of the bound that is used. The rest covers requests that one process
-/// counts in its window and the other side in the next.
+/// Fraction of the limit that is used. The rest is for requests that the sender and the
+/// receiver count in different windows.
 const USED_FRACTION: f64 = 0.7;
-/// Windows are kept as so many buckets.
+/// Number of buckets per window.
 const BUCKETS: u32 = 20;
 
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +19,7 @@
     retries: u32,
 }
 
-/// Requests and retries of one service over the window.
+/// Counts of a service's requests and retries in the current window.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -30,8 +29,8 @@
 }
 
 impl RetryBudget {
-    /// A budget with the bounds that hold for all processes together, of which
-    /// this is one of `processes`.
+    /// Creates the budget of one of `processes` processes. Together they may retry the fraction
+    /// `ratio` of all requests in a window, plus `slack` retries.
     pub fn new(ratio: f64, slack: f64, window: Duration, processes: u32) -> Self {
         Self {
             ratio: ratio * USED_FRACTION,
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Takes another number of processes that share the bound.
+    /// Sets the fixed allowance and the number of processes that share it.
     pub fn set_processes(&mut self, slack: f64, processes: u32) {
         self.slack = slack * USED_FRACTION / f64::from(processes.max(1));
     }
@@ -66,12 +65,12 @@
         &mut self.buckets[last]
     }
 
-    /// Notes a request.
+    /// Counts a request.
     pub fn record_request(&mut self, now: Instant) {
         self.bucket(now).requests += 1;
     }
 
-    /// Takes a retry, if the window has one left.
+    /// Counts a retry if the budget allows it, and returns whether it does.
     pub fn try_retry(&mut self, now: Instant) -> bool {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|b| b.requests).sum();
--- a/crates/resilience/src/crashes.rs
+++ b/crates/resilience/src/crashes.rs
@@ -1,20 +1,21 @@
-//! Requests under which upstreams end, and which of them are no longer sent.
+//! Detection of requests that crash upstreams.
 //!
-//! An engine runs several requests at once, and all of them see it end; which of them did it
-//! can't be told from one end. So each is a suspect, and a whole answer clears it: what ends
-//! every upstream never gets one, while a request that was there by chance gets its answer
-//! at the next. One that has ended [`BLOCK_THRESHOLD`] upstreams since its last answer is held back.
+//! An engine runs several requests at once, and a single crash doesn't show which of them caused
+//! it. So every request that was running becomes a suspect until it is answered completely: a
+//! request that crashes every upstream is never answered, while any other is answered by the
+//! next upstream. A request with [`BLOCK_THRESHOLD`] crashes since its last answer is blocked.
 //!
-//! Being there at many ends at once, as when half of a fleet is lost or reset, proves little:
-//! a common request runs everywhere. So one that is held back is tried again at once, alone,
-//! by one host for all, and soon once more ([`trials`]). An answer clears it; if the upstream
-//! ends both times, that proves it, unless work that is known to be there at several ends was
-//! there too. A trial without an end and without an answer proves nothing, so another follows
-//! soon. What is proven is tried a last time later, as what crashed may be mended.
+//! Many simultaneous crashes are weak evidence, as when half of a fleet is lost or reset: a
+//! common request runs everywhere. So one host sends a blocked request again on behalf of all,
+//! alone on an upstream, immediately and soon once more (see `trials.rs`). An answer clears it,
+//! and crashes in both trials confirm it, unless another request with several crashes was running
+//! too. A trial with neither crash nor answer is repeated soon. A confirmed request has a last
+//! trial later, as the fault of the upstream may have been fixed.
 //!
-//! All hosts count together. What one learns it tells the others ([`CrashTracker::outbox`]), and
-//! rows in a store keep what has come twice ([`CrashTracker::unrecorded`]). An answer is told again
-//! as long as rows from before it are kept: who starts meanwhile reads them.
+//! Crashes are counted over all hosts. Each host sends its observations to the others
+//! ([`CrashTracker::due_observations`]), and repeated crashes are recorded in a store
+//! ([`CrashTracker::unrecorded`]). An answer is resent while the store has rows of earlier
+//! crashes, as hosts that start meanwhile read them.
 
 mod outbox;
 mod trials;
@@ -25,80 +26,81 @@
 use outbox::Outbox;
 use std::time::{Duration, Instant};
 
-/// Ends without an answer between them after which work is held back. Two may be chance:
-/// an idempotent request that is tried again in a wave of crashes meets a second one.
+/// Crashes without an answer between them after which a request is blocked. Two may be a
+/// coincidence: a retried idempotent request can run into a second crash of a series.
 pub const BLOCK_THRESHOLD: usize = 3;
-/// Ends from which on a row in the store keeps them: work that meets a second end is rare,
-/// so such rows are few.
+/// Number of crashes from which they are recorded in the store. Few requests have a second
+/// crash, so there are few such rows.
 pub const RECORD_THRESHOLD: usize = 2;
-/// How long an end is remembered. What crashes an engine is mended by a release, hours
-/// later; a request that was held back wrongly must not be for good.
+/// Time after which crashes expire. A fault that crashes an engine is fixed by a release hours
+/// later, but a request that was blocked wrongly must not stay blocked forever.
 pub const RETENTION: Duration = Duration::from_secs(3600);
-/// The same of work that has ended one upstream alone: a client that comes again does so
-/// within minutes, and as long as suspects are known each request must be hashed.
+/// The same for a request with a single crash. Clients retry within minutes, and every request
+/// must be hashed as long as there are suspects.
 const SINGLE_CRASH_RETENTION: Duration = Duration::from_secs(600);
-/// How long work that was cleared is remembered, so that a word that is told again doesn't
-/// make it a suspect anew.
+/// The same for a cleared request, so that a repeated observation doesn't make it a suspect
+/// again.
 const CLEARED_RETENTION: Duration = Duration::from_secs(10);
-/// Time between two looks for what is too old.
+/// Interval between removals of expired suspects.
 const EXPIRE_EVERY: Duration = Duration::from_secs(1);
-/// Time between two reminders that work was answered whose rows are still kept, and how many
-/// works one has.
+/// Interval at which answers are resent while the store has rows of earlier crashes, and the
+/// maximum number of answers each time.
 const REMIND_EVERY: Duration = Duration::from_secs(1);
 const MAX_REMINDERS: usize = 4;
-/// Works that are remembered: those that were on all engines of a large fleet that ended at
-/// once, 130 bytes each. The one with the fewest ends yields first.
+/// Maximum number of suspects, of 130 bytes each: the requests that run on all engines of a
+/// large fleet that crash at once. The one with the fewest crashes is evicted first.
 const MAX_SUSPECTS: usize = 1024;
-/// Ends that are remembered of one work: what is known beyond the limit changes nothing.
+/// Maximum number of crashes kept per request. Further ones don't change the verdict.
 const MAX_CRASHES: usize = 8;
-/// Whether and how a request may be sent.
+
+/// Whether and how a request may be sent to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// The request is not a suspect.
     Allowed,
-    /// An upstream has ended under it: it goes where little else runs.
+    /// An upstream crashed while running the request, so it is sent where few others run.
     Suspected,
-    /// It is held back.
+    /// The request must not be sent.
     Blocked(Confidence),
-    /// It is held back, and due to be tried: whoever takes this trial for all hosts may send
-    /// it once.
+    /// The request is blocked, but a trial with this number is due: the host that takes the
+    /// trial on behalf of all may send it once.
     Trial(usize, Confidence),
 }
 
-/// Whether work is known to end upstreams.
+/// Whether a blocked request is known to crash upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Confidence {
-    /// It may have been there by chance.
+    /// It may have been running by coincidence when upstreams crashed.
     Unconfirmed,
-    /// Upstreams ended under it when it was tried.
+    /// Upstreams crashed when it was sent in trials.
     Confirmed,
 }
 
-/// What one host tells others.
+/// An event that hosts report to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// An upstream ended under work.
+    /// An upstream crashed or disappeared while running a request.
     Crash {
-        /// The work.
+        /// The request.
         fingerprint: Fingerprint,
-        /// Tag of the upstream's start.
+        /// Identifier of the upstream's process start.
         upstream: u32,
-        /// When it ended.
+        /// Time of the crash.
         at: Instant,
-        /// Whether it ended under a trial of the work.
+        /// Whether the request was running in a trial.
         in_trial: bool,
     },
-    /// Work has had its whole answer.
+    /// A request was answered completely.
     Answer {
-        /// The work.
+        /// The request.
         fingerprint: Fingerprint,
-        /// When.
+        /// Time of the answer.
         at: Instant,
     },
 }
 
 impl Observation {
-    /// The work that it tells of.
+    /// The request that was observed.
     pub fn fingerprint(&self) -> Fingerprint {
         match self {
             Self::Crash { fingerprint, .. } | Self::Answer { fingerprint, .. } => *fingerprint,
@@ -106,77 +108,79 @@
     }
 }
 
-/// What has become of work by a word.
+/// Effect of an observation on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that matters.
+    /// No relevant change.
     Unchanged,
-    /// It counts one end more, so many now.
+    /// The number of crashes changed to the given one.
     Counted(usize),
-    /// The same, and it is held back from now on.
+    /// The request is blocked from now on, with the given number of crashes.
     Blocked(usize),
-    /// It is a suspect no more.
+    /// The request is no longer a suspect.
     Cleared,
 }
 
-/// An end that the store is to keep, or keeps.
+/// A crash that is, or is to be, recorded in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// The work.
+    /// The request that was running.
     pub fingerprint: Fingerprint,
-    /// Tag of the upstream's start.
+    /// Identifier of the upstream's process start.
     pub upstream: u32,
-    /// When it ended.
+    /// Time of the crash.
     pub at: Instant,
-    /// Whether it ended under a trial of the work.
+    /// Whether the request was running in a trial.
     pub in_trial: bool,
 }
 
-/// Who told of an end.
+/// Where an observation comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// This host saw it.
+    /// Made by this host.
     Local,
-    /// A peer.
+    /// Received from a peer.
     Peer,
-    /// A row in the store.
+    /// Read from the store.
     Store,
 }
 
-/// The end of one start of an upstream under some work.
+/// Crash of an upstream while running a suspect.
 #[derive(Debug, Clone, Copy)]
 struct Crash {
+    /// Identifier of the upstream's process start.
     upstream: u32,
     at: Instant,
-    /// Whether it ended under a trial.
+    /// Whether the request was running in a trial.
     in_trial: bool,
-    /// Whether this host saw it.
+    /// Whether this host observed the crash.
     is_local: bool,
-    /// Whether a row in the store keeps it.
+    /// Whether the store has a row for the crash.
     is_recorded: bool,
 }
 
+/// A request that was running when upstreams crashed.
 #[derive(Debug)]
 struct Suspect {
     fingerprint: Fingerprint,
-    /// In the order in which they became known, each start once.
+    /// In the order in which they became known, at most one per process start.
     crashes: Vec<Crash>,
-    /// When its last whole answer came.
+    /// Time of the last complete answer.
     answered_at: Option<Instant>,
-    /// Whether this host saw it, and so removes the rows of the ends before it.
+    /// Whether this host observed that answer, and so removes the rows of earlier crashes.
     is_answered_locally: bool,
-    /// Trials that were taken since.
+    /// Number of trials taken since the last answer.
     trials: usize,
-    /// When the last one was.
+    /// Time of the last trial.
     last_trial_at: Option<Instant>,
-    /// When this host last asked for one.
+    /// Time at which this host last requested a trial.
     trial_requested_at: Option<Instant>,
-    /// When it was last heard of.
+    /// Time of the last observation.
     updated_at: Instant,
 }
 
 impl Suspect {
-    /// The work, of which nothing is known yet.
+    /// A request without observations.
     fn new(fingerprint: Fingerprint, now: Instant) -> Self {
         Self {
             fingerprint,
@@ -190,18 +194,18 @@
         }
     }
 
-    /// The ends since the last answer.
+    /// Crashes since the last answer.
     fn crashes_since_answer(&self) -> impl Iterator<Item = &Crash> {
         let is_counted = |crash: &&Crash| self.answered_at.is_none_or(|at| crash.at > at);
         self.crashes.iter().filter(is_counted)
     }
 
-    /// Ends since the last answer.
+    /// Number of crashes since the last answer.
     fn crash_count(&self) -> usize {
         self.crashes_since_answer().count()
     }
 
-    /// Ends whose rows are kept though the work was answered since.
+    /// Crashes before the last answer that the store still has rows for.
     fn stale_crashes(&self) -> impl Iterator<Item = &Crash> {
         let is_stale = |crash: &&Crash| crash.is_recorded && Some(crash.at) <= self.answered_at;
         self.crashes.iter().filter(is_stale)
@@ -216,7 +220,7 @@
         }
     }
 
-    /// How long it is remembered after it was last heard of.
+    /// Time after the last observation at which the suspect expires.
     fn retention(&self) -> Duration {
         match self.crash_count() {
             0 if !self.crashes.iter().any(|crash| crash.is_recorded) => CLEARED_RETENTION,
@@ -226,30 +230,30 @@
     }
 }
 
-/// The suspects that a host knows.
+/// Requests that a host suspects of crashing upstreams.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
-    /// Sorted by work.
+    /// Sorted by fingerprint.
     suspects: Vec<Suspect>,
     outbox: Outbox,
-    /// When peers were last reminded of answers.
+    /// Time at which answers were last resent.
     reminded_at: Option<Instant>,
-    /// When it was last looked for what is too old.
+    /// Time of the last removal of expired suspects.
     expire_ran_at: Option<Instant>,
 }
 
 impl CrashTracker {
-    /// Whether nothing is suspected, so that no request needs to be looked up.
+    /// Whether there are no suspects, so that requests needn't be hashed and looked up.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How many works are known.
+    /// Number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether and how a request may be sent.
+    /// Whether and how a request may be sent to an upstream.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Instant) -> Verdict {
         let Some(suspect) = self.find(fingerprint) else {
             return Verdict::Allowed;
@@ -261,12 +265,12 @@
         }
     }
 
-    /// Ends since the last answer.
+    /// Number of crashes of a request since its last answer.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         self.find(fingerprint).map_or(0, Suspect::crash_count)
     }
 
-    /// Takes a word; what is new is told on if `tells_on`.
+    /// Applies an observation. If it is new and `forward` is true, it is also sent to peers.
     pub fn apply(
         &mut self,
         observation: Observation,
@@ -300,6 +304,7 @@
         change
     }
 
+    /// Adds a crash. The second value is true if peers should be told of it.
     fn apply_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -315,14 +320,14 @@
         if let Some(crash) = known.find(|crash| crash.upstream == new.upstream) {
             crash.is_local |= new.is_local;
             crash.is_recorded |= new.is_recorded;
-            // Seen under another request of the same work first: told and kept anew.
+            // First observed with an equal request outside the trial: sent and recorded again.
             let is_new_trial = new.in_trial && !crash.in_trial;
             crash.in_trial |= new.in_trial;
             crash.is_recorded &= new.is_recorded || !is_new_trial;
             return (Change::Unchanged, is_new_trial);
         }
         if suspect.crashes.len() >= MAX_CRASHES {
-            // What is recorded must be known, so that its row can be removed.
+            // Recorded crashes are kept so that their rows can be removed later.
             let oldest = suspect.crashes.iter().position(|e| !e.is_recorded);
             suspect.crashes.remove(oldest.unwrap_or(0));
         }
@@ -333,10 +338,11 @@
             n if n >= BLOCK_THRESHOLD && before < BLOCK_THRESHOLD => Change::Blocked(n),
             n => Change::Counted(n),
         };
-        // What was answered since needn't be told: peers would count it anew.
+        // Crashes before the last answer aren't sent, as peers would count them again.
         (change, after > before)
     }
 
+    /// Records an answer. The second value is true if peers should be told of it.
     fn apply_answer(
         &mut self,
         fingerprint: Fingerprint,
@@ -344,7 +350,8 @@
         source: Source,
         now: Instant,
     ) -> (Change, bool) {
-        // What a peer tells of is a suspect elsewhere, and its ends may be read or heard later.
+        // The request is a suspect at the peer, so crashes from before the answer may still be
+        // received or read from the store.
         let suspect = match source {
             Source::Peer => self.entry(fingerprint, now),
             Source::Local | Source::Store => self.find_mut(fingerprint),
@@ -368,9 +375,9 @@
         }
     }
 
-    /// Ends that the store is to keep, of works with so many ends: those that this host saw,
-    /// and those of others that were known before a time, and whose hosts have had time to
-    /// write them.
+    /// Returns up to `limit` crashes that this host should record, of requests with at least
+    /// `min_crashes`: those that it observed, and other hosts' from before `others_before`,
+    /// which those had time to record themselves.
     pub fn unrecorded(
         &self,
         min_crashes: usize,
@@ -389,9 +396,9 @@
         due.map(|(s, crash)| s.record(crash)).take(limit).collect()
     }
 
-    /// Ends that the store keeps of works that were answered since: their rows may go. Those
-    /// that this host saw answered, and those that were answered at others before a time, as
-    /// these have had time to remove them.
+    /// Returns up to `limit` recorded crashes whose rows this host should remove, as the request
+    /// was answered since: those with an answer that it observed, and those with an answer at
+    /// another host before `others_before`, which had time to remove them itself.
     pub fn obsolete_records(
         &self,
         others_before: Option<Instant>,
@@ -405,7 +412,7 @@
         crashes.take(limit).collect()
     }
 
-    /// Notes that the store keeps an end, or no longer does.
+    /// Sets whether the store has a row for a crash.
     pub fn set_recorded(&mut self, record: &CrashRecord, is_recorded: bool) {
         let Some(suspect) = self.find_mut(record.fingerprint) else {
             return;
@@ -416,7 +423,8 @@
         }
     }
 
-    /// Forgets an end whose row was removed: its work was answered, or it is too old.
+    /// Removes a crash whose row was removed from the store because the request was answered or
+    /// the row expired.
     pub fn remove_crash(&mut self, fingerprint: Fingerprint, upstream: u32) -> Change {
         let Some(suspect) = self.find_mut(fingerprint) else {
             return Change::Unchanged;
@@ -433,8 +441,8 @@
         }
     }
 
-    /// Ends that the store kept at the last look; those that a whole read doesn't find any
-    /// more are gone.
+    /// Crashes that were last known to be in the store. After a full read of the store, those
+    /// that it no longer has must be removed.
     pub fn recorded(&self) -> Vec<CrashRecord> {
         let suspects = self.suspects.iter();
         let crashes = suspects.flat_map(|s| s.crashes.iter().map(move |crash| (s, crash)));
@@ -442,8 +450,8 @@
         recorded.map(|(s, crash)| s.record(crash)).collect()
     }
 
-    /// Forgets what is too old. It may be called with each datagram that is sent; a look a
-    /// second is enough.
+    /// Removes expired suspects. It may be called for every datagram sent, and has an effect at
+    /// most once per second.
     pub fn expire(&mut self, now: Instant) {
         let since = |at: Instant| now.saturating_duration_since(at);
         if self.is_empty()
@@ -458,8 +466,8 @@
             .retain(|s| now.saturating_duration_since(s.updated_at) < s.retention());
     }
 
-    /// What peers are to be told now. Works with more ends first: one that was on an upstream
-    /// by chance can wait.
+    /// Returns the observations to send to peers now. Requests with more crashes come first, as
+    /// those with few were probably running by coincidence.
     pub fn due_observations(&mut self, now: Instant) -> Vec<Observation> {
         let mut outbox = std::mem::take(&mut self.outbox);
         let mut observations = outbox.due(now, |observation| self.priority(observation));
@@ -468,7 +476,8 @@
         observations
     }
 
-    /// Answers of works whose ends the store still keeps, as it couldn't be written since.
+    /// Answers of requests whose earlier crashes are still in the store because it couldn't be
+    /// written since.
     fn reminders(&mut self, now: Instant) -> Vec<Observation> {
         let since = |at: Instant| now.saturating_duration_since(at);
         if self.reminded_at.is_some_and(|at| since(at) < REMIND_EVERY) {
@@ -487,8 +496,8 @@
         observations
     }
 
-    /// How much a word matters; none if it is out of date: an end whose work was answered
-    /// since would make it a suspect anew at a peer that has just started.
+    /// Priority of an observation; higher is sent first. `None` for a crash before the last
+    /// answer, which would make the request a suspect again at a peer that has just started.
     fn priority(&self, observation: &Observation) -> Option<usize> {
         let Observation::Crash {
             fingerprint, at, ..
@@ -515,7 +524,8 @@
         at.ok().map(|at| &mut self.suspects[at])
     }
 
-    /// The suspect for work, made room for if it is new; none if all others matter more.
+    /// Returns the suspect for a request, and adds it if necessary. `None` if there are too many
+    /// suspects and all of them are blocked.
     fn entry(&mut self, fingerprint: Fingerprint, now: Instant) -> Option<&mut Suspect> {
         let known = self
             .suspects
@@ -534,8 +544,8 @@
         Some(&mut self.suspects[at])
     }
 
-    /// Forgets the suspect with the fewest ends, of these the one that was longest not heard
-    /// of; says whether one could go. Works that are held back stay.
+    /// Removes the suspect with the fewest crashes, among equals the one whose last observation
+    /// is oldest. Blocked requests stay. Returns whether a suspect was removed.
     fn evict_one(&mut self) -> bool {
         let all = self.suspects.iter().enumerate();
         let candidate = all.min_by_key(|(_, s)| (s.crash_count(), s.updated_at));
--- a/crates/resilience/src/crashes/outbox.rs
+++ b/crates/resilience/src/crashes/outbox.rs
@@ -1,27 +1,28 @@
-//! What is to be told to peers of ends and answers, each word several times.
+//! Queue of observations to send to peers, each several times.
 
 use super::Observation;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// How often a word is told in a row, as a datagram may be lost.
+/// Number of times that an observation is sent without delay, as datagrams may be lost.
 const INITIAL_SENDS: usize = 4;
-/// When it is told again, for peers that were cut off or stood still meanwhile.
+/// Times since queueing at which an observation is sent again, for peers that were partitioned
+/// or paused.
 const RESEND_AFTER: [Duration; 4] = [
     Duration::from_millis(500),
     Duration::from_secs(1),
     Duration::from_secs(2),
     Duration::from_secs(4),
 ];
-/// Words that one datagram has at most, and those that a second has: at 30 bytes each,
-/// under 2 KB a second for each peer, whatever is lost at once.
+/// Maximum number of observations per datagram and per second. With 30 bytes each, this stays
+/// below 2 KB per second and peer, however many upstreams crash at once.
 const MAX_PER_DATAGRAM: usize = 16;
 const MAX_PER_SECOND: f64 = 64.0;
-/// Words that wait to be told.
+/// Maximum number of queued observations.
 const MAX_PENDING: usize = 512;
 
-/// A word that is to be told.
+/// A queued observation.
 #[derive(Debug)]
 struct Pending {
     observation: Observation,
@@ -30,7 +31,7 @@
 }
 
 impl Pending {
-    /// Whether it is to be told now.
+    /// Whether it must be sent now.
     fn is_due(&self, now: Instant) -> bool {
         let Some(resend) = self.sends.checked_sub(INITIAL_SENDS) else {
             return true;
@@ -44,18 +45,18 @@
     }
 }
 
-/// Words that are to be told, the oldest first.
+/// Queued observations, oldest first, with a token bucket that limits their rate.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     pending: VecDeque<Pending>,
-    /// Words that may be told now.
+    /// Number of observations that may be sent now.
     send_tokens: f64,
-    /// When these were so many.
+    /// Time of the last refill of `send_tokens`.
     refilled_at: Option<Instant>,
 }
 
 impl Outbox {
-    /// Adds a word; the oldest yields if there are too many.
+    /// Adds an observation. If the queue is full, the oldest is dropped.
     pub(super) fn push(&mut self, observation: Observation, now: Instant) {
         if self.pending.len() >= MAX_PENDING {
             self.pending.pop_front();
@@ -67,8 +68,8 @@
         });
     }
 
-    /// The words that are to be told now, those with the greatest weight first; words
-    /// without a weight are dropped.
+    /// Returns the observations to send now, those with the highest priority first. Observations
+    /// without a priority are dropped.
     pub(super) fn due(
         &mut self,
         now: Instant,
--- a/crates/resilience/src/crashes/trials.rs
+++ b/crates/resilience/src/crashes/trials.rs
@@ -1,12 +1,13 @@
-//! Trials of work that is held back: when one is due, and what they prove.
+//! Trials of blocked requests: when they are due, and when they confirm a request.
 
 use super::{BLOCK_THRESHOLD, Confidence, Crash, CrashTracker, Suspect, Verdict};
 use crate::Fingerprint;
 use std::time::{Duration, Instant};
 
-/// How long after the last end, or the last trial, held work is tried: at once, so that what
-/// was there by chance is refused for a moment only; soon again, as the first may have met
-/// another's crash or got no answer; then ever later, as upstreams give no sign of life.
+/// Delays from the last crash or trial to the next trial. The first is immediate, so that a
+/// request that was running by coincidence is refused only briefly. The second follows soon, as
+/// the first may have run into another request's crash or had no answer. The delays then grow,
+/// as the upstreams don't respond.
 const TRIAL_DELAYS: [Duration; STORED_TRIALS] = [
     Duration::ZERO,
     Duration::from_millis(1500),
@@ -17,33 +18,35 @@
     Duration::from_secs(24),
     Duration::from_secs(48),
 ];
-/// Trials that are shared out by rows in the store. Later ones are the first host's.
+/// Number of trials that hosts claim by a row in the store. Later ones are left to the first
+/// host.
 pub const STORED_TRIALS: usize = 8;
-/// Pause before each later one.
+/// Delay before each later trial.
 const LATER_TRIAL_DELAY: Duration = Duration::from_secs(60);
-/// Pause before the last trial of proven work: upstreams have had time to be mended.
+/// Delay before the last trial of a confirmed request, so that upstreams can be fixed before.
 const CONFIRMED_TRIAL_DELAY: Duration = Duration::from_secs(60);
-/// Ends under trials that prove the work guilty.
+/// Number of crashes in trials that confirm a request.
 const CONFIRM_THRESHOLD: usize = 2;
-/// Ends under trials after which proven work is tried no more.
+/// Number of crashes in trials after which a confirmed request has no more trials.
 const MAX_CONFIRMED_TRIAL_CRASHES: usize = 3;
-/// Ends under trials after which no work is tried any more, of those later than this after
-/// the end from which on it is held back: what is guilty ends no more upstreams then.
+/// Number of late crashes in trials after which an unconfirmed request has no more trials, so
+/// that it crashes no more upstreams if it is the cause. A crash is late if it occurs more than
+/// this time after the crash that blocked the request.
 const MAX_LATE_TRIAL_CRASHES: usize = 3;
 const LATE_TRIAL_AFTER: Duration = Duration::from_secs(3);
-/// Ends from which on work may be what ended an upstream under another's trial: one alone is
-/// what each request has that was there by chance.
+/// Number of crashes from which a request may be the cause of a crash in another's trial. A
+/// single crash is what any request has that was running by coincidence.
 const OTHER_SUSPECT_THRESHOLD: usize = 2;
-/// Pause of a host after it asked for a trial, whether or not it got it.
+/// Time after which a host may request another trial, whether or not it got the last one.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Suspect {
-    /// The ends under trials since the last answer.
+    /// Crashes in trials since the last answer.
     fn trial_crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes_since_answer().filter(|crash| crash.in_trial)
     }
 
-    /// Whether another trial that ends its upstream would be one too many.
+    /// Whether trials have crashed so many upstreams that no more are allowed.
     fn has_exhausted_trials(&self, confidence: Confidence) -> bool {
         match confidence {
             Confidence::Confirmed => self.trial_crashes().count() >= MAX_CONFIRMED_TRIAL_CRASHES,
@@ -81,7 +84,7 @@
 }
 
 impl CrashTracker {
-    /// Whether held work may be tried now.
+    /// Verdict on a blocked request: whether a trial of it is due.
     pub(super) fn blocked_verdict(&self, suspect: &Suspect, now: Instant) -> Verdict {
         let confidence = self.confidence(suspect);
         match suspect.is_trial_due(confidence, now) {
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Whether other work that was there at several ends was there at an upstream's.
+    /// Whether another request with several crashes was running when the upstream crashed.
     fn is_explained_by_others(&self, fingerprint: Fingerprint, upstream: u32) -> bool {
         let others = self
             .suspects
@@ -115,14 +118,15 @@
         })
     }
 
-    /// Notes that a trial is asked for, so that no other request of this host asks as well.
+    /// Records that this host requests a trial, so that it doesn't request another at the same
+    /// time.
     pub fn trial_requested(&mut self, fingerprint: Fingerprint, now: Instant) {
         if let Some(suspect) = self.find_mut(fingerprint) {
             suspect.trial_requested_at = Some(now);
         }
     }
 
-    /// Notes that a trial was taken, by this host or another.
+    /// Records that this or another host took a trial.
     pub fn trial_taken(&mut self, fingerprint: Fingerprint, number: usize, at: Instant) {
         let Some(suspect) = self.entry(fingerprint, at) else {
             return;
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Notes that a trial was given back: the work didn't reach any upstream.
+    /// Records that a trial was returned because the request didn't reach an upstream.
     pub fn trial_returned(&mut self, fingerprint: Fingerprint, number: usize) {
         let Some(suspect) = self.find_mut(fingerprint) else {
             return;
--- a/crates/resilience/src/fingerprint.rs
+++ b/crates/resilience/src/fingerprint.rs
@@ -1,17 +1,18 @@
-//! What makes two requests the same work.
+//! Fingerprints that identify equal requests.
 
 use std::fmt;
 
-/// A hash of what a request asks for and of who asks. A client that asks again, at any
-/// host, has the same; its request's id is none of it.
+/// Hash of a request's content and its client. A request that a client repeats at any host has
+/// the same fingerprint, as the request id isn't included.
 ///
-/// 128 bits of a cryptographic hash: no client can make its request look like another's.
+/// It has 128 bits of a cryptographic hash, so that no client can forge the fingerprint of
+/// another client's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// Hashes parts, each with its length, so that no two lists hash alike by parts that
-    /// run together.
+    /// Hashes the parts, each prefixed with its length, so that lists that differ only in the
+    /// boundaries of their parts have different fingerprints.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
--- a/crates/resilience/src/health.rs
+++ b/crates/resilience/src/health.rs
@@ -1,23 +1,24 @@
-//! Upstreams that fail are found by use.
+//! Passive health checks of upstreams.
 //!
-//! Each request's end is a success or a failure of the upstream. One that fails
-//! far more often than it should gets no requests for a while, and then a few:
-//! if these fail too, the while doubles.
+//! Every request counts as a success or a failure of its upstream. An upstream whose failure
+//! rate is too high is suspended: it receives no requests for some time. If the first requests
+//! after a suspension fail too, the next one is twice as long.
 
 use std::time::{Duration, Instant};
 
-/// Weight of the newest request in the share of failures. A quarter reaches
-/// [`SUSPEND_THRESHOLD`] after three failures in a row, which an upstream with one
-/// failure in fifty does once in a hundred thousand requests.
+/// Weight of the newest request in the failure rate. With a quarter, three failures in a row
+/// reach [`SUSPEND_THRESHOLD`]; an upstream at which one request in fifty fails has such a
+/// series once in a hundred thousand requests.
 const NEWEST_WEIGHT: f64 = 0.25;
-/// Share of failures over which an upstream is suspended.
+/// Failure rate from which an upstream is suspended.
 const SUSPEND_THRESHOLD: f64 = 0.55;
-/// First suspension. A burst of failures that a restart explains is over by then.
+/// Duration of the first suspension. Failures caused by a restart have ended by then.
 const MIN_SUSPENSION: Duration = Duration::from_millis(500);
-/// Longest suspension: a mended upstream waits no longer for its first request.
+/// Maximum duration of a suspension, and so the longest time that a recovered upstream waits
+/// for its next request.
 const MAX_SUSPENSION: Duration = Duration::from_secs(4);
 
-/// What came of the last requests to an upstream.
+/// Health of an upstream, from the results of recent requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
     failure_rate: f64,
@@ -25,17 +26,17 @@
     last_suspension: Duration,
 }
 
-/// An upstream has just been suspended.
+/// Suspension of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Suspension {
-    /// Share of failures that led to it.
+    /// Failure rate that caused it, from 0 to 1.
     pub failure_rate: f64,
-    /// For how long.
+    /// Time during which the upstream receives no requests.
     pub duration: Duration,
 }
 
 impl Health {
-    /// Notes an answer.
+    /// Records a successful request.
     pub fn record_success(&mut self) {
         self.failure_rate *= 1.0 - NEWEST_WEIGHT;
         if self.failure_rate < SUSPEND_THRESHOLD / 4.0 {
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Notes a failure by its weight in the share of failures, from 0 to 1; says so
-    /// if the upstream is suspended by it.
+    /// Records a failed request with its weight in the failure rate, from 0 to 1. Returns the
+    /// suspension if the failure causes one.
     pub fn record_failure(&mut self, weight: f64, now: Instant) -> Option<Suspension> {
         self.failure_rate += (1.0 - self.failure_rate) * weight.clamp(0.0, 1.0);
         if self.failure_rate < SUSPEND_THRESHOLD || self.is_suspended(now) {
@@ -54,7 +55,7 @@
         let failure_rate = self.failure_rate;
         self.last_suspension = duration;
         self.suspended_until = Some(now + duration);
-        // The next failure after the pause suspends it again.
+        // The next failure after the suspension suspends the upstream again.
         self.failure_rate = SUSPEND_THRESHOLD - NEWEST_WEIGHT / 4.0;
         Some(Suspension {
             failure_rate,
@@ -62,7 +63,7 @@
         })
     }
 
-    /// Whether it gets no requests at a time.
+    /// Whether the upstream must receive no requests at the given time.
     pub fn is_suspended(&self, now: Instant) -> bool {
         self.suspended_until
             .is_some_and(|suspended_until| now < suspended_until)
--- a/crates/resilience/src/lib.rs
+++ b/crates/resilience/src/lib.rs
@@ -1,5 +1,5 @@
-//! What keeps failures from spreading: the retry budget, and the health of
-//! upstreams as their requests show it.
+//! Containment of failures: retry budgets, health of upstreams, and detection of requests that
+//! crash upstreams.
 
 pub mod budget;
 pub mod crashes;
--- a/crates/resilience/tests/crashes.rs
+++ b/crates/resilience/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Which work is held back: the patterns of crashes, without a network.
+//! Sequences of crashes, answers and trials, and which requests are blocked after them.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -22,7 +22,7 @@
     }
 }
 
-/// An upstream's end under a trial.
+/// A crash while the request was running in a trial.
 fn crash_in_trial(fingerprint: Fingerprint, upstream: u32, at: Instant) -> Observation {
     Observation::Crash {
         fingerprint,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Notes ends of upstreams with these tags, as this host saw them.
+/// Applies crashes of upstreams with these identifiers, observed by this host.
 fn crash_upstreams(tracker: &mut CrashTracker, upstreams: &[u32], now: Instant) -> Change {
     let crashes = upstreams.iter().map(|u| crash(REQUEST, *u, now));
     let changes = crashes.map(|observation| tracker.apply(observation, Source::Local, true, now));
@@ -89,7 +89,7 @@
     crash_upstreams(&mut tracker, &[1, 2, 3], now);
     answer(&mut tracker, now + 5 * MS);
     for n in 1..=3 {
-        // Its age was measured anew on the way, so it looks later than the answer.
+        // A forwarding host measured the age again, so the crash seems later than the answer.
         let late = crash(REQUEST, n, now + 9 * MS);
         tracker.apply(late, Source::Peer, true, now + 20 * MS);
     }
@@ -106,7 +106,7 @@
     crash_upstreams(&mut tracker, &[1], now);
     assert_eq!(tracker.due_observations(now).len(), 1);
     answer(&mut tracker, now + MS);
-    // Seen only now, as it took a while to tell that the upstream had ended.
+    // Applied only now, as the host detected the crash late.
     crash_upstreams(&mut tracker, &[2], now);
     for ms in [2, 600, 1200, 2500, 4500] {
         let observations = tracker.due_observations(now + ms * MS);
@@ -129,7 +129,7 @@
         if let Verdict::Trial(number, _) = tracker.verdict(REQUEST, now) {
             assert_eq!(number, trials.len());
             tracker.trial_requested(REQUEST, now);
-            // Nobody else asks meanwhile; one that can't be taken is asked for again.
+            // Other requests of the host wait; a trial that wasn't taken is requested again.
             assert!(matches!(tracker.verdict(REQUEST, now), Verdict::Blocked(_)));
             assert!(matches!(
                 tracker.verdict(REQUEST, now + S),
@@ -186,7 +186,7 @@
         tracker.verdict(REQUEST, later),
         Verdict::Trial(0, Confidence::Unconfirmed)
     );
-    // What another host returned late changes nothing of a later one.
+    // The late return of a trial has no effect on a later trial.
     tracker.trial_taken(REQUEST, 0, later);
     tracker.trial_taken(REQUEST, 1, later);
     tracker.trial_returned(REQUEST, 0);
@@ -200,7 +200,7 @@
     );
 }
 
-/// Takes the trial that is due, under which an upstream ends.
+/// Takes the trial that is due, in which an upstream crashes.
 fn crash_in_due_trial(tracker: &mut CrashTracker, upstream: u32, now: Instant) {
     let Verdict::Trial(number, _) = tracker.verdict(REQUEST, now) else {
         panic!("no trial is due");
@@ -217,7 +217,7 @@
     for number in 0..3 {
         tracker.trial_taken(REQUEST, number, now + S);
     }
-    // At a host that knew of nothing, and sent it as any other.
+    // Sent by a host that didn't know of the earlier crashes.
     let observation = crash(REQUEST, 4, now + 2 * S);
     tracker.apply(observation, Source::Peer, true, now + 2 * S);
     assert_eq!(
@@ -243,7 +243,7 @@
         );
     };
     assert_blocked(&tracker, Confidence::Unconfirmed);
-    // Once the other is answered it did nothing.
+    // The other request is answered, so it didn't cause the crashes.
     let answer = Observation::Answer {
         fingerprint: other,
         at: now + MS,
@@ -268,8 +268,8 @@
     );
 }
 
-/// However upstreams fail to answer, it is tried again: within seconds at first, and never
-/// later than a minute.
+/// As long as trials have no answer, the request is tried again: within seconds at first, and
+/// later at least once a minute.
 #[test]
 fn a_trial_without_crash_or_answer_is_followed_by_another() {
     let (mut tracker, start) = (CrashTracker::default(), Instant::now());
@@ -290,7 +290,8 @@
     assert!(longest <= Some(60), "{trials:?}");
 }
 
-/// Work that ends each upstream, and whose every trial meets other such work.
+/// A request crashes each upstream, but other suspects run in each of its trials, so that it is
+/// never confirmed.
 #[test]
 fn an_unconfirmed_request_crashes_at_most_three_upstreams_in_late_trials() {
     let (mut tracker, start) = (CrashTracker::default(), Instant::now());
@@ -315,7 +316,7 @@
 #[test]
 fn an_answer_applies_to_rows_read_after_it() {
     let (mut tracker, now) = (CrashTracker::default(), Instant::now());
-    // A host that has just started hears it from a peer before it reads the rows.
+    // A host that has just started receives the answer from a peer before it reads the rows.
     let observation = Observation::Answer {
         fingerprint: REQUEST,
         at: now,
@@ -374,7 +375,7 @@
     assert_eq!(tracker.unrecorded(RECORD_THRESHOLD, None, 9), []);
     assert_eq!(tracker.unrecorded(1, None, 9).len(), 1);
     crash_upstreams(&mut tracker, &[2], now);
-    // What a peer saw the peer writes, unless it had time to and didn't.
+    // Crashes that a peer observed are recorded by the peer if it does so in time.
     tracker.apply(crash(REQUEST, 3, now), Source::Peer, true, now);
     assert_eq!(
         tracker
@@ -409,8 +410,9 @@
     assert_eq!(tracker.verdict(REQUEST, now), Verdict::Allowed);
 }
 
-/// Half of a large fleet ends at once, and each host saw a hundred requests there: what is
-/// remembered, told and written stays within bounds, and what is held back stays so.
+/// Half of a large fleet crashes at once while each upstream runs many requests: the numbers of
+/// suspects, sent observations and recorded crashes are limited, and blocked requests stay
+/// blocked.
 #[test]
 fn a_flood_of_suspects_stays_within_bounds() {
     let (mut tracker, mut now) = (CrashTracker::default(), Instant::now());
@@ -462,21 +464,21 @@
     assert_eq!(times, 3 * 8);
 }
 
-/// One thing that happens to the hosts of a system.
+/// An event in a system of several hosts.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A host sees an upstream end under the work.
+    /// A host observes a crash of an upstream that was running the request.
     Crash(usize),
-    /// All hosts tell each other; so many of ten datagrams are lost.
+    /// All hosts exchange observations; the given number of ten datagrams are lost.
     Exchange(u32),
-    /// A host starts again and reads the rows.
+    /// A host restarts and reads the rows.
     Restart(usize),
 }
 
 const HOSTS: usize = 4;
 
-/// Whatever hosts see, lose and forget: each that may send the work has seen fewer ends than
-/// the limit, or was told of them too late. Once words have had time to come, none may.
+/// Hosts observe crashes, lose datagrams and restart. After the observations have had time to
+/// arrive, all hosts must block the request if enough crashes weren't lost in restarts.
 #[test]
 fn all_hosts_block_a_request_soon_after_the_third_crash() {
     let step = prop_oneof![
@@ -508,7 +510,7 @@
             }
             Step::Exchange(loss) => exchange(&mut hosts, *loss, &mut rng, now),
             Step::Restart(host) => {
-                // What it alone had seen, and not yet written, is lost with it.
+                // Crashes that only this host knows of and hasn't recorded are lost.
                 lost += hosts[*host].unrecorded(1, None, 99).len();
                 hosts[*host] = CrashTracker::default();
             }
@@ -544,7 +546,7 @@
     }
 }
 
-/// Writes what is due, and lets all hosts read it.
+/// Records the crashes that are due, and lets all hosts read all rows.
 fn sync_rows(hosts: &mut [CrashTracker], rows: &mut Vec<CrashRecord>, now: Instant) {
     for host in hosts.iter_mut() {
         let due = host.unrecorded(RECORD_THRESHOLD, None, 99);
--- a/crates/resilience/tests/limits.rs
+++ b/crates/resilience/tests/limits.rs
@@ -1,11 +1,11 @@
-//! The retry budget against naive counts, and the health of upstreams.
+//! The retry budget compared to direct counts, and suspensions of failing upstreams.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use resilience::{Health, RetryBudget};
 use std::time::{Duration, Instant};
 
-/// A runner with a fixed seed: the same cases each time.
+/// Test runner with a fixed seed, so that all runs have the same cases.
 fn runner() -> TestRunner {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     TestRunner::new_with_rng(Config::with_cases(300), rng)
@@ -32,7 +32,7 @@
                 }
                 let from = at.saturating_sub(window);
                 let recent = retries.iter().filter(|t| **t >= from).count() as f64;
-                // Requests count in the window or the one before it.
+                // Requests may be counted in the current window or the previous one.
                 let from = at.saturating_sub(window * 2);
                 let earned = requests.iter().filter(|t| **t >= from).count() as f64;
                 let bound = 0.2 * earned + 54.0 / f64::from(processes);
@@ -61,7 +61,7 @@
     assert!(pauses.windows(2).all(|p| p[1] >= p[0]), "{pauses:?}");
     assert_eq!(*pauses.last().unwrap(), Duration::from_secs(4));
 
-    // One in seven answers says that the worker failed; that is its usual way.
+    // One in seven requests fails with a low weight, which is normal for this upstream.
     let mut health = Health::default();
     for n in 0..5000 {
         if n % 7 == 0 {
