--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -7,7 +7,9 @@
 
 use observe::log_line::now_ms;
 use observe::{Event, emit};
-use resilience::crashes::{Change, Proof, REMEMBERED, Record, Source, TRIALS, Word};
+use resilience::crashes::{
+    Change, Confidence, CrashRecord, Observation, RETENTION, STORED_TRIALS, Source,
+};
 use resilience::{Fingerprint, Verdict};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -33,7 +35,7 @@
     platform: HttpPlatform,
     /// Name of the entry, as stored in rows.
     entry: String,
-    known: Mutex<resilience::Crashes>,
+    known: Mutex<resilience::CrashTracker>,
     write_needed: Notify,
 }
 
@@ -45,7 +47,7 @@
     /// Once, as the trial with this number.
     Trial(usize),
     /// Not at all.
-    HoldBack(Proof),
+    HoldBack(Confidence),
 }
 
 /// Hash of the service, the tenant and the content of a call. The position from which a completion
@@ -74,7 +76,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, resilience::Crashes> {
+    fn lock(&self) -> MutexGuard<'_, resilience::CrashTracker> {
         self.known.lock().expect("no panic while locked")
     }
 
@@ -86,25 +88,31 @@
     /// Records that an upstream crashed while it ran the work, and whether that was a trial.
     pub fn record_end(&self, work: Fingerprint, end: u32, in_trial: bool) {
         let at = Instant::now();
-        let word = Word::End {
-            work,
+        let word = Observation::Crash {
+            fingerprint: work,
             upstream: end,
             at,
             in_trial,
         };
-        self.apply_report(word, Source::Own);
+        self.apply_report(word, Source::Local);
     }
 
     /// Records that the work got a complete response.
     pub fn record_answer(&self, work: Fingerprint) {
         let at = Instant::now();
-        self.apply_report(Word::Answer { work, at }, Source::Own);
+        self.apply_report(
+            Observation::Answer {
+                fingerprint: work,
+                at,
+            },
+            Source::Local,
+        );
     }
 
-    fn apply_report(&self, word: Word, source: Source) {
-        let change = self.lock().take(word, source, false, Instant::now());
-        log_change(word.work(), change);
-        if change != Change::Same && source == Source::Own {
+    fn apply_report(&self, word: Observation, source: Source) {
+        let change = self.lock().apply(word, source, false, Instant::now());
+        log_change(word.fingerprint(), change);
+        if change != Change::Unchanged && source == Source::Local {
             self.write_needed.notify_one();
         }
     }
@@ -116,13 +124,13 @@
             let mut known = self.lock();
             let verdict = known.verdict(work, now);
             if let Verdict::Trial(..) = verdict {
-                known.ask_trial(work, now);
+                known.trial_requested(work, now);
             }
             verdict
         };
         match verdict {
-            Verdict::Free | Verdict::Suspect => SendDecision::Allow,
-            Verdict::Held(proof) => SendDecision::HoldBack(proof),
+            Verdict::Allowed | Verdict::Suspected => SendDecision::Allow,
+            Verdict::Blocked(proof) => SendDecision::HoldBack(proof),
             Verdict::Trial(number, proof) => match self.take_trial(work, number).await {
                 true => SendDecision::Trial(number),
                 false => SendDecision::HoldBack(proof),
@@ -145,7 +153,7 @@
 
     /// Reserves a trial among all entries. Returns whether this entry got it.
     async fn take_trial(&self, work: Fingerprint, number: usize) -> bool {
-        let written = match number < TRIALS {
+        let written = match number < STORED_TRIALS {
             true => self.write_trial(work, number).await,
             // These later trials aren't reserved: each entry makes one per minute.
             false => Ok(()),
@@ -198,8 +206,8 @@
     async fn write(&self) {
         let (due, answered) = {
             let known = self.lock();
-            let due = known.to_record(MIN_ENDS_TO_RECORD, None, MAX_ROWS_PER_WRITE);
-            (due, known.to_remove(None, MAX_ROWS_PER_WRITE))
+            let due = known.unrecorded(MIN_ENDS_TO_RECORD, None, MAX_ROWS_PER_WRITE);
+            (due, known.obsolete_records(None, MAX_ROWS_PER_WRITE))
         };
         if due.is_empty() && answered.is_empty() {
             return;
@@ -208,7 +216,7 @@
         for record in &due {
             let ago = record.at.elapsed().as_millis() as u64;
             let row = self.encode_row(now_ms().saturating_sub(ago), record.in_trial);
-            txn = txn.put(crash_key(record.work.0, record.upstream), row);
+            txn = txn.put(crash_key(record.fingerprint.0, record.upstream), row);
         }
         for record in &answered {
             txn.puts.extend(removal_puts(record));
@@ -233,13 +241,13 @@
             return;
         };
         let recorded = self.lock().recorded();
-        let is_stored = |record: &&Record| {
-            let key = crash_key(record.work.0, record.upstream);
+        let is_stored = |record: &&CrashRecord| {
+            let key = crash_key(record.fingerprint.0, record.upstream);
             rows.iter().any(|row| row.key == key)
         };
         for gone in recorded.iter().filter(|record| !is_stored(record)) {
-            let change = self.lock().forget(gone.work, gone.upstream);
-            log_change(gone.work, change);
+            let change = self.lock().remove_crash(gone.fingerprint, gone.upstream);
+            log_change(gone.fingerprint, change);
         }
         let old: Vec<String> = rows.iter().filter_map(|row| self.apply_row(row)).collect();
         self.remove_rows(old).await;
@@ -269,15 +277,15 @@
             return None;
         };
         let age = Duration::from_millis(now_ms().saturating_sub(crash.at_ms));
-        if age >= REMEMBERED {
+        if age >= RETENTION {
             return Some(row.key.clone());
         }
         let now = Instant::now();
         let at = now.checked_sub(age).unwrap_or(now);
         match key {
             CrashKey::End { work, end } => {
-                let word = Word::End {
-                    work: Fingerprint(work),
+                let word = Observation::Crash {
+                    fingerprint: Fingerprint(work),
                     upstream: end,
                     at,
                     in_trial: crash.in_trial,
@@ -300,9 +308,9 @@
 }
 
 /// Deletions of the row of a crash and of the rows of the work's trials.
-fn removal_puts(record: &Record) -> Vec<Put> {
-    let trials = (0..TRIALS).map(|number| trial_key(record.work.0, number));
-    let keys = std::iter::once(crash_key(record.work.0, record.upstream)).chain(trials);
+fn removal_puts(record: &CrashRecord) -> Vec<Put> {
+    let trials = (0..STORED_TRIALS).map(|number| trial_key(record.fingerprint.0, number));
+    let keys = std::iter::once(crash_key(record.fingerprint.0, record.upstream)).chain(trials);
     keys.map(|key| Put { key, value: None }).collect()
 }
 
@@ -310,8 +318,8 @@
     let work = work.to_string();
     let source = "entries";
     match change {
-        Change::Same | Change::Counted(_) => {}
-        Change::HeldBack(ends) => emit(&Event::WorkHeldBack { work, ends, source }),
+        Change::Unchanged | Change::Counted(_) => {}
+        Change::Blocked(ends) => emit(&Event::WorkHeldBack { work, ends, source }),
         Change::Cleared => emit(&Event::WorkReleased { work, source }),
     }
 }
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -33,7 +33,7 @@
     pub fn succeeded(&self, addr: SocketAddr) {
         let mut failed = self.lock();
         if let Ok(at) = failed.binary_search_by_key(&addr, |(a, _)| *a) {
-            failed[at].1.succeeded();
+            failed[at].1.record_success();
         }
     }
 
@@ -48,7 +48,7 @@
             }
         };
         // Other probes in flight fail too, but the first failure has already suspended the agent.
-        let _ = failed[at].1.failed(FAILURE_WEIGHT, now);
+        let _ = failed[at].1.record_failure(FAILURE_WEIGHT, now);
     }
 
     /// Removes agents that are no longer listed in any document.
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -11,7 +11,7 @@
 use net::{CallError, Pool};
 use node::RunningGuard;
 use resilience::Fingerprint;
-use resilience::crashes::Proof;
+use resilience::crashes::Confidence;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use store::InForce;
@@ -221,10 +221,12 @@
                 self.trial = Some(number);
                 return Ok(());
             }
-            SendDecision::HoldBack(Proof::Open) => {
+            SendDecision::HoldBack(Confidence::Unconfirmed) => {
                 Refusal::not_run(Reason::CrashSuspected).retry_in(NO_UPSTREAM_RETRY_MS)
             }
-            SendDecision::HoldBack(Proof::Proven) => Refusal::not_run(Reason::CrashesUpstreams),
+            SendDecision::HoldBack(Confidence::Confirmed) => {
+                Refusal::not_run(Reason::CrashesUpstreams)
+            }
         };
         Err(self.give_up(held))
     }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -4,7 +4,7 @@
 use crate::health::AgentHealth;
 use crate::peers::Peers;
 use node::Node;
-use resilience::Budget;
+use resilience::RetryBudget;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -26,7 +26,7 @@
     pub health: AgentHealth,
     /// Work during which upstreams crashed.
     pub crashes: Crashes,
-    retry_budget: Mutex<Budget>,
+    retry_budget: Mutex<RetryBudget>,
 }
 
 impl Entry {
@@ -38,7 +38,7 @@
             crashes: Crashes::new(node.platform.clone(), node.settings.name.clone()),
             node,
             health: AgentHealth::default(),
-            retry_budget: Mutex::new(Budget::new(
+            retry_budget: Mutex::new(RetryBudget::new(
                 RETRIES_PER_REQUEST,
                 RETRIES_PER_WINDOW,
                 RETRY_WINDOW,
@@ -50,13 +50,13 @@
     /// Adds a request to the retry budget.
     pub fn earn_retry(&self) {
         let mut retry_budget = self.retry_budget.lock().expect("no panic while locked");
-        retry_budget.earn(Instant::now());
+        retry_budget.record_request(Instant::now());
     }
 
     /// Takes a retry from the budget. Returns whether there was one.
     pub fn spend_retry(&self) -> bool {
         let mut retry_budget = self.retry_budget.lock().expect("no panic while locked");
-        retry_budget.spend(Instant::now())
+        retry_budget.try_retry(Instant::now())
     }
 
     /// Whether the entry accepts requests: it isn't stopping and has a document for each of its
--- a/crates/plan/src/policy.rs
+++ b/crates/plan/src/policy.rs
@@ -1,73 +1,72 @@
-//! What is desired of the engines, as a function of what is known.
+//! Computes the orders to write from the document and the known state of the engines.
 
 use conf::{Doc, Kind};
 use std::net::SocketAddr;
 use store::rows::Desired;
 use wire::{AgentState, AgentStatus, Model, Role};
 
-/// Part of a service's engines that may be in a planned change at once.
-const PART_IN_CHANGE: usize = 4;
+/// One in this many engines of a service, but at least one, may change at the same time.
+const CHANGING_DIVISOR: usize = 4;
 
-/// An engine, as the planner sees it.
+/// State of an engine, as known to the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub name: String,
-    /// Where its agent listens.
+    /// Address of its agent.
     pub agent: SocketAddr,
-    /// What was desired of it last, with the row's version; 0 if there is none.
+    /// Last order that was written; `None` if there is none.
     pub desired: Option<Desired>,
-    /// Version of the row of the desired state.
+    /// Version of the row of the desired state; 0 if there is none.
     pub version: u64,
-    /// What its agent says, if it answered.
+    /// Status that its agent reported; `None` if it didn't respond.
     pub status: Option<AgentStatus>,
 }
 
-/// An order to be written.
+/// An order to write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewOrder {
-    /// Place of the engine among those that were given.
+    /// Index of the engine in the list passed to [`new_orders`].
     pub engine: usize,
-    /// What is desired.
+    /// Desired state of the engine.
     pub desired: Desired,
 }
 
-/// Gives the orders to write now, under a lease of this epoch.
+/// Returns the orders to write now, with the epoch of the lease.
 ///
-/// An engine with no order gets its first at once. A change of model goes
-/// through the engines a bounded part at a time, and the next part waits until
-/// the changed ones serve again.
-pub fn orders(doc: &Doc, engines: &[Engine], epoch: u64) -> Vec<NewOrder> {
-    let Some(model) = desired(doc) else {
+/// Engines without an order get one immediately. A model change is rolled out gradually: only a
+/// fraction of the engines may be changing at a time, and others follow when those serve again.
+pub fn new_orders(doc: &Doc, engines: &[Engine], epoch: u64) -> Vec<NewOrder> {
+    let Some(model) = desired_model(doc) else {
         return Vec::new();
     };
-    let mut out = Vec::new();
-    let mut room = (engines.len() / PART_IN_CHANGE).max(1);
-    room = room.saturating_sub(engines.iter().filter(|e| in_change(e)).count());
+    let mut orders = Vec::new();
+    let mut available = (engines.len() / CHANGING_DIVISOR).max(1);
+    available = available.saturating_sub(engines.iter().filter(|e| is_changing(e)).count());
     for (engine, e) in engines.iter().enumerate() {
         let why = match &e.desired {
             None => "first order".to_owned(),
-            Some(w) if w.model == model => continue,
-            Some(_) if room == 0 => continue,
-            Some(w) => {
-                room -= 1;
-                format!("document wants {model} in place of {}", w.model)
+            Some(previous) if previous.model == model => continue,
+            Some(_) if available == 0 => continue,
+            Some(previous) => {
+                available -= 1;
+                format!("document wants {model} in place of {}", previous.model)
             }
         };
         let desired = Desired {
-            role: e.desired.as_ref().map_or(Role::Mixed, |w| w.role),
+            role: e.desired.as_ref().map_or(Role::Mixed, |d| d.role),
             model: model.clone(),
             epoch,
-            order: e.desired.as_ref().map_or(0, |w| w.order) + 1,
+            order: e.desired.as_ref().map_or(0, |d| d.order) + 1,
             why,
         };
-        out.push(NewOrder { engine, desired });
+        orders.push(NewOrder { engine, desired });
     }
-    out
+    orders
 }
 
-/// The model that the document desired_rows; none if the service has no engines.
-fn desired(doc: &Doc) -> Option<Model> {
+/// The model that the document specifies; `None` if the service has no engines.
+fn desired_model(doc: &Doc) -> Option<Model> {
     let Kind::Engine(model) = &doc.kind else {
         return None;
     };
@@ -78,21 +77,21 @@
     })
 }
 
-/// Whether any engine is desired otherwise than the document says. If not, there
-/// is nothing to order, and nobody needs to be asked.
-pub fn any_to_change(doc: &Doc, engines: &[Engine]) -> bool {
-    let Some(model) = desired(doc) else {
+/// Whether the last order of any engine differs from the document. If not, there are no orders
+/// to write, and the agents need not be queried.
+pub fn has_changes(doc: &Doc, engines: &[Engine]) -> bool {
+    let Some(model) = desired_model(doc) else {
         return false;
     };
-    let fits = |w: &Desired| w.model == model;
+    let is_current = |desired: &Desired| desired.model == model;
     engines
         .iter()
-        .any(|e| !e.desired.as_ref().is_some_and(fits))
+        .any(|e| !e.desired.as_ref().is_some_and(is_current))
 }
 
-/// Whether an engine was ordered to change and doesn't serve as desired yet. One
-/// whose agent doesn't answer counts: nobody knows when it serves again.
-fn in_change(e: &Engine) -> bool {
+/// Whether an engine has an order and doesn't serve as ordered yet. An engine whose agent doesn't
+/// respond counts as changing, as its state is unknown.
+fn is_changing(e: &Engine) -> bool {
     let Some(desired) = &e.desired else {
         return false;
     };
--- a/crates/resilience/src/health.rs
+++ b/crates/resilience/src/health.rs
@@ -1,66 +1,71 @@
-//! Upstreams that fail are found by use.
+//! Passive health checks of upstreams.
 //!
-//! Each request's end is a success or a failure of the upstream. One that fails
-//! far more often than it should gets no requests for a while, and then a few:
-//! if these fail too, the while doubles.
+//! Every request counts as a success or a failure of its upstream. An upstream whose failure
+//! rate is too high is suspended: it receives no requests for some time. If the first requests
+//! after a suspension fail too, the next one is twice as long.
 
 use std::time::{Duration, Instant};
 
-/// Weight of the newest request in the share of failures. A quarter reaches
-/// [`SUSPEND_OVER`] after three failures in a row, which an upstream with one
-/// failure in fifty does once in a hundred thousand requests.
-const NEWEST: f64 = 0.25;
-/// Share of failures over which an upstream is suspended.
-const SUSPEND_OVER: f64 = 0.55;
-/// First suspension. A burst of failures that a restart explains is over by then.
-const FIRST: Duration = Duration::from_millis(500);
-/// Longest suspension: a mended upstream waits no longer for its first request.
-const LONGEST: Duration = Duration::from_secs(4);
+/// Weight of the newest request in the failure rate. With a quarter, three failures in a row
+/// reach [`SUSPEND_THRESHOLD`]; an upstream at which one request in fifty fails has such a
+/// series once in a hundred thousand requests.
+const NEWEST_WEIGHT: f64 = 0.25;
+/// Failure rate from which an upstream is suspended.
+const SUSPEND_THRESHOLD: f64 = 0.55;
+/// Duration of the first suspension. Failures caused by a restart have ended by then.
+const MIN_SUSPENSION: Duration = Duration::from_millis(500);
+/// Maximum duration of a suspension, and so the longest time that a recovered upstream waits
+/// for its next request.
+const MAX_SUSPENSION: Duration = Duration::from_secs(4);
 
-/// What came of the last requests to an upstream.
+/// Health of an upstream, from the results of recent requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    failures: f64,
-    until: Option<Instant>,
-    last: Duration,
+    failure_rate: f64,
+    suspended_until: Option<Instant>,
+    last_suspension: Duration,
 }
 
-/// An upstream has just been suspended.
+/// Suspension of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Suspended {
-    /// Share of failures that led to it.
-    pub failures: f64,
-    /// For how long.
-    pub pause: Duration,
+pub struct Suspension {
+    /// Failure rate that caused it, from 0 to 1.
+    pub failure_rate: f64,
+    /// Time during which the upstream receives no requests.
+    pub duration: Duration,
 }
 
 impl Health {
-    /// Notes an answer.
-    pub fn succeeded(&mut self) {
-        self.failures *= 1.0 - NEWEST;
-        if self.failures < SUSPEND_OVER / 4.0 {
-            self.last = Duration::ZERO;
+    /// Records a successful request.
+    pub fn record_success(&mut self) {
+        self.failure_rate *= 1.0 - NEWEST_WEIGHT;
+        if self.failure_rate < SUSPEND_THRESHOLD / 4.0 {
+            self.last_suspension = Duration::ZERO;
         }
     }
 
-    /// Notes a failure by its weight in the share of failures, from 0 to 1; says so
-    /// if the upstream is suspended by it.
-    pub fn failed(&mut self, weight: f64, now: Instant) -> Option<Suspended> {
-        self.failures += (1.0 - self.failures) * weight.clamp(0.0, 1.0);
-        if self.failures < SUSPEND_OVER || self.is_suspended(now) {
+    /// Records a failed request with its weight in the failure rate, from 0 to 1. Returns the
+    /// suspension if the failure causes one.
+    pub fn record_failure(&mut self, weight: f64, now: Instant) -> Option<Suspension> {
+        self.failure_rate += (1.0 - self.failure_rate) * weight.clamp(0.0, 1.0);
+        if self.failure_rate < SUSPEND_THRESHOLD || self.is_suspended(now) {
             return None;
         }
-        let pause = (self.last * 2).clamp(FIRST, LONGEST);
-        let failures = self.failures;
-        self.last = pause;
-        self.until = Some(now + pause);
-        // The next failure after the pause suspends it again.
-        self.failures = SUSPEND_OVER - NEWEST / 4.0;
-        Some(Suspended { failures, pause })
+        let duration = (self.last_suspension * 2).clamp(MIN_SUSPENSION, MAX_SUSPENSION);
+        let failure_rate = self.failure_rate;
+        self.last_suspension = duration;
+        self.suspended_until = Some(now + duration);
+        // The next failure after the suspension suspends the upstream again.
+        self.failure_rate = SUSPEND_THRESHOLD - NEWEST_WEIGHT / 4.0;
+        Some(Suspension {
+            failure_rate,
+            duration,
+        })
     }
 
-    /// Whether it gets no requests at a time.
+    /// Whether the upstream must receive no requests at the given time.
     pub fn is_suspended(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.suspended_until
+            .is_some_and(|suspended_until| now < suspended_until)
     }
 }
--- a/crates/resilience/src/lib.rs
+++ b/crates/resilience/src/lib.rs
@@ -1,12 +1,12 @@
-//! What keeps failures from spreading: the retry budget, and the health of
-//! upstreams as their requests show it.
+//! Containment of failures: retry budgets, health of upstreams, and detection of requests that
+//! crash upstreams.
 
 pub mod budget;
 pub mod crashes;
 pub mod fingerprint;
 pub mod health;
 
-pub use budget::Budget;
-pub use crashes::{Crashes, Verdict};
+pub use budget::RetryBudget;
+pub use crashes::{CrashTracker, Verdict};
 pub use fingerprint::Fingerprint;
-pub use health::{Health, Suspended};
+pub use health::{Health, Suspension};
--- a/crates/resilience/tests/limits.rs
+++ b/crates/resilience/tests/limits.rs
@@ -1,23 +1,23 @@
-//! The retry budget against naive counts, and the health of upstreams.
+//! The retry budget compared to direct counts, and suspensions of failing upstreams.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use resilience::{Budget, Health};
+use resilience::{Health, RetryBudget};
 use std::time::{Duration, Instant};
 
-/// A runner with a fixed seed: the same cases each time.
+/// Test runner with a fixed seed, so that all runs have the same cases.
 fn runner() -> TestRunner {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     TestRunner::new_with_rng(Config::with_cases(300), rng)
 }
 
 #[test]
-fn the_budget_keeps_to_its_share_over_any_window() {
+fn retries_stay_within_the_budget_in_every_window() {
     let steps = proptest::collection::vec((0u64..400, any::<bool>()), 1..400);
     runner()
         .run(&(steps, 1u32..6), |(steps, processes)| {
             let window = Duration::from_secs(10);
-            let mut budget = Budget::new(0.2, 54.0, window, processes);
+            let mut budget = RetryBudget::new(0.2, 54.0, window, processes);
             let start = Instant::now();
             let mut at = Duration::ZERO;
             let mut requests: Vec<Duration> = Vec::new();
@@ -25,14 +25,14 @@
             for (pause, is_retry) in steps {
                 at += Duration::from_millis(pause);
                 if !is_retry {
-                    budget.earn(start + at);
+                    budget.record_request(start + at);
                     requests.push(at);
-                } else if budget.spend(start + at) {
+                } else if budget.try_retry(start + at) {
                     retries.push(at);
                 }
                 let from = at.saturating_sub(window);
                 let recent = retries.iter().filter(|t| **t >= from).count() as f64;
-                // Requests count in the window or the one before it.
+                // Requests may be counted in the current window or the previous one.
                 let from = at.saturating_sub(window * 2);
                 let earned = requests.iter().filter(|t| **t >= from).count() as f64;
                 let bound = 0.2 * earned + 54.0 / f64::from(processes);
@@ -44,16 +44,16 @@
 }
 
 #[test]
-fn a_worker_that_fails_is_suspended_longer_each_time_and_a_sound_one_never() {
+fn failing_upstreams_are_suspended_longer_each_time_and_healthy_ones_never() {
     let start = Instant::now();
     let mut health = Health::default();
     let mut pauses = Vec::new();
     let mut now = start;
     for _ in 0..12 {
-        if let Some(s) = health.failed(0.25, now) {
-            pauses.push(s.pause);
+        if let Some(s) = health.record_failure(0.25, now) {
+            pauses.push(s.duration);
             assert!(health.is_suspended(now));
-            now += s.pause;
+            now += s.duration;
             assert!(!health.is_suspended(now));
         }
     }
@@ -61,13 +61,13 @@
     assert!(pauses.windows(2).all(|p| p[1] >= p[0]), "{pauses:?}");
     assert_eq!(*pauses.last().unwrap(), Duration::from_secs(4));
 
-    // One in seven answers says that the worker failed; that is its usual way.
+    // One in seven requests fails with a low weight, which is normal for this upstream.
     let mut health = Health::default();
     for n in 0..5000 {
         if n % 7 == 0 {
-            assert!(health.failed(0.06, start).is_none());
+            assert!(health.record_failure(0.06, start).is_none());
         } else {
-            health.succeeded();
+            health.record_success();
         }
     }
 }
