--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -76,7 +76,7 @@
         let Choice::Send(taker) = choose_generator(&call.gateway, &need, plan.key) else {
             break;
         };
-        if let Admission::Held(why) = crashes::admit(call, account).await {
+        if let Admission::Rejected(why) = crashes::admit(call, account).await {
             return Tried::NotRun(NotRun::Held(why));
         }
         // A rejected send counts against the route's attempts and the budget.
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -12,10 +12,10 @@
 pub mod rows;
 pub mod unanswered;
 
-pub use admit::{Admission, admit, end_trial};
+pub use admit::{Admission, admit, return_unused_trial};
 pub use fingerprint::fingerprint;
 
-use crate::peers::{Beat, CrashWord, Scope};
+use crate::peers::{CrashReport, PeerStatus, Scope};
 use crate::serve::Call;
 use crate::state::Gateway;
 use observe::{Event, emit};
@@ -27,12 +27,12 @@
 
 /// What this process knows of work under which upstreams end.
 #[derive(Debug, Default)]
-pub struct Shared {
-    known: Mutex<Crashes>,
+pub struct SharedCrashes {
+    crashes: Mutex<Crashes>,
     clock: Mutex<Option<StoreClock>>,
     /// Given when there may be rows to write or to remove.
-    to_write: Notify,
-    room: unanswered::Room,
+    write_pending: Notify,
+    watch_permits: unanswered::WatchPermits,
 }
 
 /// The store's steady clock, as it was at a read.
@@ -44,23 +44,23 @@
 
 impl StoreClock {
     /// What it shows when this host's clock shows a time.
-    fn at_ms(self, at: Instant) -> u64 {
+    fn to_store_ms(self, at: Instant) -> u64 {
         let after = at.saturating_duration_since(self.read_at).as_millis() as u64;
         let before = self.read_at.saturating_duration_since(at).as_millis() as u64;
         self.now_ms.saturating_add(after).saturating_sub(before)
     }
 
     /// What this host's clock showed at a time of it; none if that was before it started.
-    fn instant(self, at_ms: u64) -> Option<Instant> {
+    fn to_instant(self, at_ms: u64) -> Option<Instant> {
         let ago = Duration::from_millis(self.now_ms.saturating_sub(at_ms));
         self.read_at.checked_sub(ago)
     }
 }
 
-impl Shared {
+impl SharedCrashes {
     /// What is known. Never held across an await.
     pub fn lock(&self) -> MutexGuard<'_, Crashes> {
-        self.known.lock().expect("no panic while locked")
+        self.crashes.lock().expect("no panic while locked")
     }
 
     fn clock(&self) -> Option<StoreClock> {
@@ -75,20 +75,20 @@
 }
 
 /// Takes a word, logs what it changes, and has it written where the store is to keep it.
-fn take(gateway: &Gateway, word: Word, source: Source, tells_on: bool) -> Change {
+fn apply(gateway: &Gateway, word: Word, source: Source, forward: bool) -> Change {
     let change = gateway
         .crashes
         .lock()
-        .take(word, source, tells_on, Instant::now());
-    tell(word.work(), change, source);
+        .take(word, source, forward, Instant::now());
+    log_change(word.work(), change, source);
     if change != Change::Same {
-        gateway.crashes.to_write.notify_one();
+        gateway.crashes.write_pending.notify_one();
     }
     change
 }
 
 /// Logs what has become of work.
-fn tell(work: Fingerprint, change: Change, source: Source) {
+fn log_change(work: Fingerprint, change: Change, source: Source) {
     let work = work.to_string();
     let source = source_name(source);
     match change {
@@ -107,7 +107,7 @@
 }
 
 /// Notes that a request has had its whole answer.
-pub fn answered(call: &Call) {
+pub fn mark_answered(call: &Call) {
     let gateway = &call.gateway;
     if gateway.crashes.lock().is_empty() {
         return;
@@ -116,27 +116,27 @@
         work: call.fingerprint(),
         at: Instant::now(),
     };
-    take(gateway, word, Source::Own, true);
+    apply(gateway, word, Source::Own, true);
 }
 
 /// Takes what a peer has learned. Where processes form trees it is told on.
-pub fn hear(gateway: &Gateway, beat: &Beat, now: Instant) {
-    for word in &beat.crashes {
+pub fn receive(gateway: &Gateway, status: &PeerStatus, now: Instant) {
+    for report in &status.crashes {
         // One from before this host's clock began is too old to matter.
-        if let Some(word) = from_peer(word, now) {
-            take(gateway, word, Source::Peer, beat.scope != Scope::Direct);
+        if let Some(word) = from_report(report, now) {
+            apply(gateway, word, Source::Peer, status.scope != Scope::Direct);
         }
     }
 }
 
 /// What peers are to be told now.
-pub fn news(gateway: &Gateway, now: Instant) -> Vec<CrashWord> {
+pub fn pending_reports(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
     let words = gateway.crashes.lock().news(now);
-    words.iter().map(|word| to_peer(word, now)).collect()
+    words.iter().map(|word| to_report(word, now)).collect()
 }
 
 /// Upstream ends that are recorded in the store, for a peer that is starting.
-pub fn recorded(gateway: &Gateway, now: Instant) -> Vec<CrashWord> {
+pub fn recorded_ends(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
     let recorded = gateway.crashes.lock().recorded();
     let words = recorded.iter().map(|r| Word::End {
         work: r.work,
@@ -144,19 +144,19 @@
         at: r.at,
         in_trial: r.in_trial,
     });
-    words.map(|word| to_peer(&word, now)).collect()
+    words.map(|word| to_report(&word, now)).collect()
 }
 
 /// Applies the recorded upstream ends received from a peer.
-pub fn take_recorded(gateway: &Gateway, words: &[CrashWord], now: Instant) {
-    for word in words {
-        if let Some(word) = from_peer(word, now) {
-            take(gateway, word, Source::Peer, false);
+pub fn apply_recorded(gateway: &Gateway, reports: &[CrashReport], now: Instant) {
+    for report in reports {
+        if let Some(word) = from_report(report, now) {
+            apply(gateway, word, Source::Peer, false);
         }
     }
 }
 
-fn to_peer(word: &Word, now: Instant) -> CrashWord {
+fn to_report(word: &Word, now: Instant) -> CrashReport {
     let (at, upstream, in_trial) = match *word {
         Word::End {
             upstream,
@@ -168,7 +168,7 @@
     };
     let Fingerprint(work) = word.work();
     let ago = now.saturating_duration_since(at).as_millis();
-    CrashWord {
+    CrashReport {
         work: [(work >> 64) as u64, work as u64],
         upstream,
         ago_ms: u32::try_from(ago).unwrap_or(u32::MAX),
@@ -176,16 +176,16 @@
     }
 }
 
-fn from_peer(word: &CrashWord, now: Instant) -> Option<Word> {
-    let [high, low] = word.work.map(u128::from);
+fn from_report(report: &CrashReport, now: Instant) -> Option<Word> {
+    let [high, low] = report.work.map(u128::from);
     let work = Fingerprint(high << 64 | low);
-    let at = now.checked_sub(Duration::from_millis(word.ago_ms.into()))?;
-    Some(match word.upstream {
+    let at = now.checked_sub(Duration::from_millis(report.ago_ms.into()))?;
+    Some(match report.upstream {
         Some(upstream) => Word::End {
             work,
             upstream,
             at,
-            in_trial: word.in_trial,
+            in_trial: report.in_trial,
         },
         None => Word::Answer { work, at },
     })
--- a/crates/gateway/src/crashes/admit.rs
+++ b/crates/gateway/src/crashes/admit.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// As any other.
-    Usual,
+    Normal,
     /// Where the least else runs, as an upstream may end by it.
-    Alone,
+    Quarantined,
     /// Not at all.
-    Held(Reason),
+    Rejected(Reason),
 }
 
 impl From<Proof> for Reason {
@@ -33,15 +33,15 @@
 /// generation of a prompt that was read, the rest of a broken stream.
 pub async fn admit(call: &Call, account: &mut Account) -> Admission {
     if let Err(why) = call.check_key(account) {
-        return Admission::Held(why);
+        return Admission::Rejected(why);
     }
     let crashes = &call.gateway.crashes;
     if crashes.lock().is_empty() {
-        return Admission::Usual;
+        return Admission::Normal;
     }
     if account.trial.is_some() && !account.may_have_run {
         // The upstream that was chosen for it took no connection.
-        return Admission::Alone;
+        return Admission::Quarantined;
     }
     let work = call.fingerprint();
     let now = Instant::now();
@@ -57,23 +57,23 @@
         account.work = Some(work);
     }
     match verdict {
-        Verdict::Free => Admission::Usual,
-        Verdict::Suspect => Admission::Alone,
-        Verdict::Held(proof) => Admission::Held(proof.into()),
+        Verdict::Free => Admission::Normal,
+        Verdict::Suspect => Admission::Quarantined,
+        Verdict::Held(proof) => Admission::Rejected(proof.into()),
         Verdict::Trial(number, proof) => {
             match rows::take_trial(&call.gateway, work, number).await {
                 true => {
                     account.trial = Some(number);
-                    Admission::Alone
+                    Admission::Quarantined
                 }
-                false => Admission::Held(proof.into()),
+                false => Admission::Rejected(proof.into()),
             }
         }
     }
 }
 
 /// Gives a trial back that reached no upstream.
-pub fn end_trial(call: &Call, account: &Account) {
+pub fn return_unused_trial(call: &Call, account: &Account) {
     let Some(number) = account.trial.filter(|_| !account.may_have_run) else {
         return;
     };
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -13,10 +13,10 @@
 /// How long an upstream is given to show that it lives. A process that ends closes all its
 /// connections at once, and a busy host needs some ten milliseconds to see that they are
 /// closed; one that lives answers other requests meanwhile.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(100);
+const LIVENESS_WINDOW: Duration = Duration::from_millis(100);
 
 /// A request whose connection to an upstream broke.
-struct Broken {
+struct BrokenConnection {
     gateway: Arc<Gateway>,
     request: String,
     work: Fingerprint,
@@ -35,7 +35,7 @@
     let SentTo { key, tag } = sent;
     let work = call.fingerprint();
     account.work = Some(work);
-    let broken = Broken {
+    let broken = BrokenConnection {
         gateway: call.gateway.clone(),
         request: account.id.clone(),
         work,
@@ -45,12 +45,12 @@
         in_trial: account.trial.is_some(),
         at: Instant::now(),
     };
-    tokio::spawn(broken.judge());
+    tokio::spawn(broken.report());
 }
 
-impl Broken {
-    async fn judge(self) {
-        tokio::time::sleep(SIGN_OF_LIFE).await;
+impl BrokenConnection {
+    async fn report(self) {
+        tokio::time::sleep(LIVENESS_WINDOW).await;
         let has_ended = self.has_ended();
         if has_ended {
             let word = Word::End {
@@ -59,7 +59,7 @@
                 at: self.at,
                 in_trial: self.in_trial,
             };
-            super::take(&self.gateway, word, Source::Own, true);
+            super::apply(&self.gateway, word, Source::Own, true);
         }
         emit(&Event::ConnectionBroke {
             request: &self.request,
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -3,7 +3,7 @@
 //! What has come twice is written, so that it reaches hosts that hear no peer and outlasts
 //! all processes; what was answered since, or is too old, is removed.
 
-use super::{Shared, StoreClock, take, tell};
+use super::{SharedCrashes, StoreClock, apply, log_change};
 use crate::follow::{Client, Dependency, held_for, wait_until_reader};
 use crate::state::Gateway;
 use observe::{Event, emit};
@@ -16,9 +16,9 @@
 
 /// How long the store may hold a read: as long as it allows, as rows are rare. A connection
 /// that has gone silent shows only after that.
-const WAIT: Duration = Duration::from_secs(30);
+const HOLD_TIME: Duration = Duration::from_secs(30);
 /// The same for a host that hears no peer, to which nobody else tells anything.
-const WAIT_ALONE: Duration = Duration::from_secs(2);
+const HOLD_TIME_ISOLATED: Duration = Duration::from_secs(2);
 /// Longest wait for an answer besides, and for a write.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest wait of a request for its trial: its client waits meanwhile.
@@ -26,26 +26,26 @@
 /// Longest wait after the start before the first read, of which chance draws a part: hosts
 /// that start together read other tables first. With it what is kept is known within the
 /// 3 s in which bounds don't count yet.
-const FIRST_READ_WITHIN: Duration = Duration::from_millis(1200);
+const FIRST_READ_SPREAD: Duration = Duration::from_millis(1200);
 /// Pause after a read that told of changes, and between two writes: rows come several at
 /// once.
 const PAUSE: Duration = Duration::from_millis(250);
 /// How long the host that saw an end has to write it. Then the first of the processes do,
 /// as it may be gone: what two or three hosts saw each would else be lost with one of them.
-const LEFT_TO_OWNER: Duration = Duration::from_millis(700);
-const WRITERS: u32 = 2;
+const TAKEOVER_AFTER: Duration = Duration::from_millis(700);
+const TAKEOVER_WRITERS: u32 = 2;
 /// Rows that one call writes or removes.
-const MAX_AT_ONCE: usize = 32;
+const MAX_ROWS_PER_CALL: usize = 32;
 /// Ends whose rows one call removes, with those of their work's trials: the store takes no
 /// more entries in one.
-const MAX_ENDS_AT_ONCE: usize = MAX_ENTRIES / (1 + TRIALS);
+const MAX_ENDS_PER_CALL: usize = MAX_ENTRIES / (1 + TRIALS);
 /// Rows from which on only ends of work that is held back are written: a table of them is
 /// read in two pages.
-const MAX_ROWS: usize = 256;
+const MAX_SUSPECT_ROWS: usize = 256;
 
 /// Follows the rows until the process ends.
 pub async fn follow(gateway: Arc<Gateway>) {
-    tokio::time::sleep(FIRST_READ_WITHIN.mul_f64(fastrand::f64())).await;
+    tokio::time::sleep(FIRST_READ_SPREAD.mul_f64(fastrand::f64())).await;
     gateway
         .startup_load
         .finished(gateway.host().is_first_start)
@@ -56,14 +56,14 @@
     // Pages of the table while it is read in full.
     let mut pages = Vec::new();
     loop {
-        let is_whole = !matches!(from, Feed::Since(_));
-        let is_initial = is_whole && !gateway.startup_load.has_loaded();
+        let is_full_read = !matches!(from, Feed::Since(_));
+        let is_initial = is_full_read && !gateway.startup_load.has_loaded();
         wait_until_reader(&gateway, is_initial).await;
-        let longest = match hears_nobody(&gateway) {
-            true => WAIT_ALONE,
-            false => WAIT,
+        let hold_time = match has_no_live_peer(&gateway) {
+            true => HOLD_TIME_ISOLATED,
+            false => HOLD_TIME,
         };
-        let wait = held_for(&from, longest);
+        let wait = held_for(&from, hold_time);
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().crashes(&from, wait, timeout).await {
             Ok(change) => {
@@ -74,7 +74,7 @@
                 }
                 gateway.crashes.set_clock(change.now_ms);
                 // Rows that came due before the first read wait for its clock.
-                gateway.crashes.to_write.notify_one();
+                gateway.crashes.write_pending.notify_one();
                 pages.extend(change.items);
                 from = change.next;
                 if matches!(from, Feed::Rest { .. }) {
@@ -82,9 +82,9 @@
                 }
                 let changes = std::mem::take(&mut pages);
                 let has_changes = !changes.is_empty();
-                merge(&gateway, &changes, is_whole);
+                merge(&gateway, &changes, is_full_read);
                 if has_changes {
-                    remove_old(&gateway, &mut client, &changes).await;
+                    remove_expired(&gateway, &mut client, &changes).await;
                     tokio::time::sleep(PAUSE).await;
                 }
             }
@@ -101,31 +101,31 @@
 }
 
 /// Takes what a read tells. A whole one also tells by absence.
-fn merge(gateway: &Gateway, changes: &[CrashChange], is_whole: bool) {
-    if is_whole {
-        let is_there = |record: &Record| {
+fn merge(gateway: &Gateway, changes: &[CrashChange], is_full_read: bool) {
+    if is_full_read {
+        let is_present = |record: &Record| {
             let key = end_key(record);
             changes
                 .iter()
                 .any(|c| matches!(c, CrashChange::Written(row) if row.key == key))
         };
         let recorded = gateway.crashes.lock().recorded();
-        for record in recorded.iter().filter(|record| !is_there(record)) {
-            forget(gateway, record.work, record.upstream);
+        for record in recorded.iter().filter(|record| !is_present(record)) {
+            forget_end(gateway, record.work, record.upstream);
         }
     }
     for change in changes {
         match change {
-            CrashChange::Written(row) => learn(gateway, row),
-            CrashChange::Removed(key) => unlearn(gateway, *key),
+            CrashChange::Written(row) => apply_written(gateway, row),
+            CrashChange::Removed(key) => apply_removed(gateway, *key),
         }
     }
 }
 
-fn unlearn(gateway: &Gateway, key: CrashKey) {
+fn apply_removed(gateway: &Gateway, key: CrashKey) {
     let work = Fingerprint(key.work);
     match key.mark {
-        CrashMark::End(upstream) => forget(gateway, work, upstream),
+        CrashMark::End(upstream) => forget_end(gateway, work, upstream),
         CrashMark::Trial(number) => {
             let mut crashes = gateway.crashes.lock();
             crashes.trial_returned(work, number as usize);
@@ -133,23 +133,23 @@
     }
 }
 
-fn forget(gateway: &Gateway, work: Fingerprint, upstream: u32) {
+fn forget_end(gateway: &Gateway, work: Fingerprint, upstream: u32) {
     let change = gateway.crashes.lock().forget(work, upstream);
-    tell(work, change, Source::Store);
+    log_change(work, change, Source::Store);
 }
 
-fn learn(gateway: &Gateway, row: &CrashRow) {
+fn apply_written(gateway: &Gateway, row: &CrashRow) {
     let Some(clock) = gateway.crashes.clock() else {
         return;
     };
-    if is_old(row, clock) {
+    if is_expired(row, clock) {
         return;
     }
     let work = Fingerprint(row.key.work);
     // A host that has started since can't name a time before its clock began; that the row
     // is still to be kept is all that matters then.
     let now = Instant::now();
-    let at = clock.instant(row.at_ms).unwrap_or(now);
+    let at = clock.to_instant(row.at_ms).unwrap_or(now);
     match row.key.mark {
         CrashMark::End(upstream) => {
             let word = Word::End {
@@ -158,7 +158,7 @@
                 at,
                 in_trial: row.in_trial,
             };
-            take(gateway, word, Source::Store, false);
+            apply(gateway, word, Source::Store, false);
         }
         CrashMark::Trial(number) => {
             let number = number as usize;
@@ -167,13 +167,13 @@
     }
 }
 
-fn is_old(row: &CrashRow, clock: StoreClock) -> bool {
-    let age_ms = clock.at_ms(Instant::now()).saturating_sub(row.at_ms);
+fn is_expired(row: &CrashRow, clock: StoreClock) -> bool {
+    let age_ms = clock.to_store_ms(Instant::now()).saturating_sub(row.at_ms);
     Duration::from_millis(age_ms) >= REMEMBERED
 }
 
 /// Removes rows that are too old. The first of the processes does it for all.
-async fn remove_old(gateway: &Gateway, client: &mut Client, changes: &[CrashChange]) {
+async fn remove_expired(gateway: &Gateway, client: &mut Client, changes: &[CrashChange]) {
     let Some(clock) = gateway.crashes.clock().filter(|_| gateway.rank() == 0) else {
         return;
     };
@@ -181,13 +181,17 @@
         CrashChange::Written(row) => Some(row),
         CrashChange::Removed(_) => None,
     });
-    let old = rows.filter(|row| is_old(row, clock)).map(|row| row.key);
-    let old: Vec<CrashKey> = old.take(MAX_AT_ONCE).collect();
-    if old.is_empty() {
+    let expired = rows.filter(|row| is_expired(row, clock)).map(|row| row.key);
+    let expired: Vec<CrashKey> = expired.take(MAX_ROWS_PER_CALL).collect();
+    if expired.is_empty() {
         return;
     }
-    if let Err(e) = client.store().remove_crashes(&old, ANSWER_TIMEOUT).await {
-        not_written(old.len(), &e);
+    if let Err(e) = client
+        .store()
+        .remove_crashes(&expired, ANSWER_TIMEOUT)
+        .await
+    {
+        log_write_failure(expired.len(), &e);
     }
 }
 
@@ -197,8 +201,8 @@
     let mut dependency = Dependency::new("store/crashes");
     loop {
         // Looked at from time to time too, for ends that others should have written.
-        let changed = gateway.crashes.to_write.notified();
-        let _ = tokio::time::timeout(LEFT_TO_OWNER, changed).await;
+        let changed = gateway.crashes.write_pending.notified();
+        let _ = tokio::time::timeout(TAKEOVER_AFTER, changed).await;
         if gateway.crashes.lock().is_empty() {
             continue;
         }
@@ -230,7 +234,7 @@
         let row = |record: &Record| CrashRow {
             key: end_key(record),
             host: host.clone(),
-            at_ms: clock.at_ms(record.at),
+            at_ms: clock.to_store_ms(record.at),
             in_trial: record.in_trial,
         };
         let rows: Vec<CrashRow> = ends.iter().map(row).collect();
@@ -242,13 +246,13 @@
     if answered.is_empty() {
         return Ok(false);
     }
-    let keys: Vec<CrashKey> = answered.iter().flat_map(keys_of).collect();
+    let keys: Vec<CrashKey> = answered.iter().flat_map(end_and_trial_keys).collect();
     client.store().remove_crashes(&keys, ANSWER_TIMEOUT).await?;
     set_recorded(&gateway.crashes, &answered, false);
     Ok(true)
 }
 
-fn set_recorded(crashes: &Shared, records: &[Record], is_recorded: bool) {
+fn set_recorded(crashes: &SharedCrashes, records: &[Record], is_recorded: bool) {
     let mut crashes = crashes.lock();
     for record in records {
         crashes.set_recorded(record, is_recorded);
@@ -257,7 +261,7 @@
 
 /// Whether this host hears no peer, though there are some: it has only the store to tell
 /// them, and to hear of them.
-fn hears_nobody(gateway: &Gateway) -> bool {
+fn has_no_live_peer(gateway: &Gateway) -> bool {
     let peers = gateway.peers();
     !peers.is_empty() && peers.live(Instant::now()).next().is_none()
 }
@@ -265,27 +269,30 @@
 /// The ends that are to be written now: the first end of any work by a host that hears no
 /// peer.
 fn to_record(gateway: &Gateway) -> Vec<Record> {
-    let (hears_nobody, others) = (hears_nobody(gateway), left_by_others(gateway));
+    let (has_no_live_peer, takeover_before) = (has_no_live_peer(gateway), takeover_before(gateway));
     let crashes = gateway.crashes.lock();
-    let from_ends = match crashes.recorded().len() {
-        rows if rows >= MAX_ROWS => LIMIT,
-        _ if hears_nobody => 1,
+    let min_ends = match crashes.recorded().len() {
+        rows if rows >= MAX_SUSPECT_ROWS => LIMIT,
+        _ if has_no_live_peer => 1,
         _ => RECORD_FROM,
     };
-    crashes.to_record(from_ends, others, MAX_AT_ONCE)
+    crashes.to_record(min_ends, takeover_before, MAX_ROWS_PER_CALL)
 }
 
 /// The ends whose rows are to be removed now.
 fn to_remove(gateway: &Gateway) -> Vec<Record> {
-    let others = left_by_others(gateway);
-    gateway.crashes.lock().to_remove(others, MAX_ENDS_AT_ONCE)
+    let takeover_before = takeover_before(gateway);
+    gateway
+        .crashes
+        .lock()
+        .to_remove(takeover_before, MAX_ENDS_PER_CALL)
 }
 
 /// Before when what others saw is this host's to write; none if it writes its own only.
-fn left_by_others(gateway: &Gateway) -> Option<Instant> {
-    let is_writer = gateway.rank() < WRITERS;
+fn takeover_before(gateway: &Gateway) -> Option<Instant> {
+    let is_writer = gateway.rank() < TAKEOVER_WRITERS;
     Instant::now()
-        .checked_sub(LEFT_TO_OWNER)
+        .checked_sub(TAKEOVER_AFTER)
         .filter(|_| is_writer)
 }
 
@@ -297,7 +304,7 @@
 }
 
 /// The rows that go with an end: its own, and those of the work's trials.
-fn keys_of(record: &Record) -> Vec<CrashKey> {
+fn end_and_trial_keys(record: &Record) -> Vec<CrashKey> {
     let trials = (0..TRIALS).map(|number| trial_key(record.work, number));
     std::iter::once(end_key(record)).chain(trials).collect()
 }
@@ -358,7 +365,7 @@
     let row = CrashRow {
         key: trial_key(work, number),
         host: gateway.host().name.clone(),
-        at_ms: clock.at_ms(Instant::now()),
+        at_ms: clock.to_store_ms(Instant::now()),
         in_trial: false,
     };
     let mut client = Client::new(gateway);
@@ -373,12 +380,12 @@
         let mut client = Client::new(&gateway);
         let key = [trial_key(work, number)];
         if let Err(e) = client.store().remove_crashes(&key, ANSWER_TIMEOUT).await {
-            not_written(key.len(), &e);
+            log_write_failure(key.len(), &e);
         }
     });
 }
 
-fn not_written(rows: usize, e: &StoreError) {
+fn log_write_failure(rows: usize, e: &StoreError) {
     emit(&Event::CrashRowsNotWritten {
         rows,
         why: e.to_string(),
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -16,26 +16,26 @@
 use tokio::task::AbortHandle;
 
 /// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_EVERY: Duration = Duration::from_millis(500);
 /// How long it is looked: the entry of an upstream that is gone lapses within some seconds.
-const LOOK_FOR: Duration = Duration::from_secs(15);
+const WATCH_TIME: Duration = Duration::from_secs(15);
 
 /// Requests whose upstreams are watched at once, trials aside: when many upstreams are cut off
 /// some tell as much as all.
 const MAX_WATCHED: usize = 64;
 
-/// Room for requests whose upstreams are watched.
+/// WatchPermits for requests whose upstreams are watched.
 #[derive(Debug, Clone)]
-pub(super) struct Room(Arc<Semaphore>);
+pub(super) struct WatchPermits(Arc<Semaphore>);
 
-impl Default for Room {
+impl Default for WatchPermits {
     fn default() -> Self {
         Self(Arc::new(Semaphore::new(MAX_WATCHED)))
     }
 }
 
 /// A request that was sent.
-struct Sent {
+struct WatchedRequest {
     gateway: Arc<Gateway>,
     request: String,
     work: Fingerprint,
@@ -47,20 +47,20 @@
 
 /// What is known of its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum UpstreamFate {
     /// Nothing yet, or its connection broke, which is judged elsewhere.
-    Open,
+    Unknown,
     /// It has answered something since, or leaves as planned.
-    Lives,
+    Alive,
     /// It is gone, or has started again.
     Ended,
 }
 
 /// A watch on the upstream that a trial is sent to; it goes on by itself.
 #[derive(Debug, Default)]
-pub struct Watch(Option<AbortHandle>);
+pub struct TrialWatch(Option<AbortHandle>);
 
-impl Watch {
+impl TrialWatch {
     /// Ends it, as the trial wasn't sent or the upstream says that it doesn't run it.
     pub fn cancel(self) {
         if let Some(task) = self.0 {
@@ -70,34 +70,37 @@
 }
 
 /// Watches the upstream that a request is sent to, if this is a trial.
-pub fn watch_trial(call: &Call, account: &Account) -> Watch {
+pub fn watch_trial(call: &Call, account: &Account) -> TrialWatch {
     if account.trial.is_none() {
-        return Watch::default();
+        return TrialWatch::default();
     }
-    let Some(sent) = Sent::new(call, account) else {
-        return Watch::default();
+    let Some(request) = WatchedRequest::new(call, account) else {
+        return TrialWatch::default();
     };
-    Watch(Some(tokio::spawn(sent.watch()).abort_handle()))
+    TrialWatch(Some(tokio::spawn(request.watch()).abort_handle()))
 }
 
 /// Watches the upstream of a request that it has not answered in time. Trials are watched from
 /// the time on at which they are sent.
-pub fn timed_out(call: &Call, account: &mut Account) {
+pub fn watch_timed_out(call: &Call, account: &mut Account) {
     if account.trial.is_some() || !account.may_have_run {
         return;
     }
-    let room = call.gateway.crashes.room.0.clone();
-    let (Some(sent), Ok(permit)) = (Sent::new(call, account), room.try_acquire_owned()) else {
+    let permits = call.gateway.crashes.watch_permits.0.clone();
+    let (Some(request), Ok(permit)) = (
+        WatchedRequest::new(call, account),
+        permits.try_acquire_owned(),
+    ) else {
         return;
     };
-    account.work = Some(sent.work);
+    account.work = Some(request.work);
     tokio::spawn(async move {
-        sent.watch().await;
+        request.watch().await;
         drop(permit);
     });
 }
 
-impl Sent {
+impl WatchedRequest {
     /// What was sent just now, or went unanswered until now.
     fn new(call: &Call, account: &Account) -> Option<Self> {
         Some(Self {
@@ -112,29 +115,29 @@
     }
 
     async fn watch(self) {
-        while self.at.elapsed() < LOOK_FOR {
-            tokio::time::sleep(LOOK_EVERY).await;
+        while self.at.elapsed() < WATCH_TIME {
+            tokio::time::sleep(CHECK_EVERY).await;
             // Cleared meanwhile, it was answered.
             if self.in_trial && self.gateway.crashes.lock().counted(self.work) == 0 {
                 return;
             }
             match self.fate() {
-                Fate::Open => {}
-                Fate::Lives => return,
-                Fate::Ended => return self.ended(),
+                UpstreamFate::Unknown => {}
+                UpstreamFate::Alive => return,
+                UpstreamFate::Ended => return self.report_end(),
             }
         }
     }
 
     /// Counts the end, unless it is known by a connection that broke.
-    fn ended(&self) {
+    fn report_end(&self) {
         let word = Word::End {
             work: self.work,
             upstream: self.to.tag,
             at: self.at,
             in_trial: self.in_trial,
         };
-        if super::take(&self.gateway, word, Source::Own, true) == Change::Same {
+        if super::apply(&self.gateway, word, Source::Own, true) == Change::Same {
             return;
         }
         emit(&Event::UpstreamWentDark {
@@ -146,15 +149,15 @@
         });
     }
 
-    fn fate(&self) -> Fate {
+    fn fate(&self) -> UpstreamFate {
         let fleet = self.gateway.fleet();
         let Some(upstream) = fleet.get(self.to.key) else {
-            return Fate::Ended;
+            return UpstreamFate::Ended;
         };
         let has_answered_since = upstream.lived_at.is_some_and(|at| at > self.at);
         match has_answered_since || !upstream.is_open() {
-            true => Fate::Lives,
-            false => Fate::Open,
+            true => UpstreamFate::Alive,
+            false => UpstreamFate::Unknown,
         }
     }
 }
--- a/crates/gateway/src/division/orders.rs
+++ b/crates/gateway/src/division/orders.rs
@@ -146,7 +146,7 @@
         }
     }
     // Peers hear of it first, so that they send no request that would be refused.
-    tokio::time::sleep(exchange::time_to_tell(gateway)).await;
+    tokio::time::sleep(exchange::propagation_time(gateway)).await;
     for target in &targets {
         let may_run = order(gateway, target, wanted.stage, held).await;
         if let Some(upstream) = gateway.fleet().get_mut(target.key).filter(|_| !may_run) {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -16,7 +16,7 @@
 pub use merge::Merged;
 pub use upstream::{Others, Upstream};
 
-use crate::peers::{Changing, Placement};
+use crate::peers::{Placement, StageChange};
 use durations::{Durations, Told};
 use platform::{Engine, Scaling, Service, Start};
 use speed::{Speed, Task, Work};
@@ -210,9 +210,9 @@
     }
 
     /// Engines that are away for a change that was ordered.
-    pub fn changing(&self, now: Instant) -> Vec<Changing> {
+    pub fn changing(&self, now: Instant) -> Vec<StageChange> {
         let changing = self.iter().filter_map(|(_, u)| {
-            Some(Changing {
+            Some(StageChange {
                 upstream: u.tag(),
                 left_ms: u.away_for(now)?.as_millis() as u32,
             })
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,13 +8,13 @@
 
 pub mod catch_up;
 pub mod exchange;
-pub mod first_look;
 mod links;
 pub mod membership;
 pub mod message;
+pub mod startup_load;
 pub mod tree;
 
-pub use message::{Beat, Changing, CrashWord, Load, Placement, Scope};
+pub use message::{CrashReport, Load, PeerStatus, Placement, Scope, StageChange};
 
 use crate::fleet::Fleet;
 use serde::{Deserialize, Serialize};
@@ -23,15 +23,15 @@
 
 /// A peer that was silent for so long counts as gone, and its load with it: three
 /// times the longest pause between two datagrams.
-pub const SILENT: Duration = Duration::from_millis(600);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Most peers that are each told directly. So many hear each other every 64 ms, and by
 /// the tree within some 50 ms. With 30 processes in trees two of the users' deployments
 /// earn 0.015 and 0.03 more of what is owed than with 30 that tell each other directly.
-const DIRECT_MOST: usize = 16;
+const MAX_DIRECT_PEERS: usize = 16;
 /// Most peers that are known. Bounds the memory that unknown senders can take.
 const MAX_PEERS: usize = 4096;
 /// A process that has heard no peer for this long reads the store itself.
-const ALONE_AFTER: Duration = Duration::from_secs(1);
+const ISOLATED_AFTER: Duration = Duration::from_secs(1);
 /// Processes, besides the roots, that hold reads of whole tables at the store. The others
 /// receive changes from peers, so the calls for a change don't grow with the number of
 /// processes. They are spread over all zones, so that some reach the store while it refuses
@@ -80,15 +80,15 @@
     host: Option<String>,
     /// Hash of its availability zone; 0 until it is known.
     zone: u32,
-    heard_at: Option<Instant>,
-    beat: Option<Beat>,
+    last_seen_at: Option<Instant>,
+    status: Option<PeerStatus>,
     /// Since when it is asked whether it is the root of its zone.
-    asked_at: Option<Instant>,
+    root_probe_since: Option<Instant>,
     /// Whether it waits for an answer that this process is there.
-    waits_for_answer: bool,
-    avoided_until: Option<Instant>,
+    awaits_reply: bool,
+    backoff_until: Option<Instant>,
     /// For how long it was avoided last.
-    avoided_for: Duration,
+    backoff: Duration,
 }
 
 /// All peers, sorted by address.
@@ -98,42 +98,42 @@
     /// The peer that this process reports to.
     parent: Option<IpAddr>,
     /// Since when it looks for one; none while it has one or is a root.
-    searches_since: Option<Instant>,
+    parent_search_since: Option<Instant>,
     /// Whether it speaks for its zone to other zones.
     is_root: bool,
     /// Whether the processes form trees, as far as this one knows.
     is_tree: bool,
     /// When it last asked whether those are there that it may report to.
-    hello_at: Option<Instant>,
+    last_hello_at: Option<Instant>,
     /// When it last asked whether those are there that usually report to it.
-    hello_below_at: Option<Instant>,
+    last_child_hello_at: Option<Instant>,
     /// Whether the store has told of the peers.
-    is_listed: bool,
+    is_membership_known: bool,
     /// When this process was first found to hear no peer; `None` while it hears one.
-    alone_since: Option<Instant>,
+    isolated_since: Option<Instant>,
     /// Counts what was heard that changes what is told on.
-    changes: u64,
+    revision: u64,
 }
 
 impl Peers {
     /// Notes a peer that the store tells of.
     pub fn add(&mut self, host: &str, ip: IpAddr, zone: u32) {
-        if let Some(peer) = self.entry(ip) {
+        if let Some(peer) = self.find_or_add(ip) {
             peer.host = Some(host.to_owned());
             peer.zone = zone;
             // Its row is written when it starts, so it may answer now.
-            peer.avoided_until = None;
+            peer.backoff_until = None;
         }
     }
 
     /// Notes that the store has told of the peers.
-    pub fn set_listed(&mut self) {
-        self.is_listed = true;
+    pub fn set_membership_known(&mut self) {
+        self.is_membership_known = true;
     }
 
     /// Whether the store has told of the peers.
-    pub fn is_listed(&self) -> bool {
-        self.is_listed
+    pub fn is_membership_known(&self) -> bool {
+        self.is_membership_known
     }
 
     /// Notes that the store no longer tells of a host's process.
@@ -143,12 +143,12 @@
             .iter()
             .position(|p| p.host.as_deref() == Some(host));
         if let Some(at) = at {
-            self.all.remove(at).take_off(fleet);
-            self.changes += 1;
+            self.all.remove(at).remove_load(fleet);
+            self.revision += 1;
         }
     }
 
-    fn entry(&mut self, ip: IpAddr) -> Option<&mut Peer> {
+    fn find_or_add(&mut self, ip: IpAddr) -> Option<&mut Peer> {
         let at = match self.all.binary_search_by_key(&ip, |p| p.ip) {
             Ok(at) => at,
             Err(_) if self.all.len() >= MAX_PEERS => return None,
@@ -161,73 +161,79 @@
     }
 
     /// Takes a datagram from an address; says whether it was new.
-    pub fn hear(&mut self, ip: IpAddr, mut beat: Beat, fleet: &mut Fleet, now: Instant) -> bool {
-        let bound = self.silent();
-        let counts = self.counts(ip, beat.scope);
-        let Some(peer) = self.entry(ip) else {
+    pub fn receive(
+        &mut self,
+        ip: IpAddr,
+        mut status: PeerStatus,
+        fleet: &mut Fleet,
+        now: Instant,
+    ) -> bool {
+        let timeout = self.peer_timeout();
+        let is_accepted = self.accepts_load(ip, status.scope);
+        let Some(peer) = self.find_or_add(ip) else {
             return false;
         };
-        let last = peer.beat.as_ref();
-        if last.is_some_and(|b| b.start == beat.start && b.number >= beat.number) {
+        let last = peer.status.as_ref();
+        if last.is_some_and(|s| s.start == status.start && s.number >= status.number) {
             return false;
         }
-        peer.waits_for_answer |= beat.scope == Scope::Hello;
-        peer.zone = beat.zone;
-        if !beat.scope.has_load() && peer.is_live(now, bound) && peer.tells_load() {
+        peer.awaits_reply |= status.scope == Scope::Hello;
+        peer.zone = status.zone;
+        if !status.scope.has_load() && peer.is_live(now, timeout) && peer.reports_load() {
             // It is there, as its last word has said already.
             return true;
         }
         // A peer may say anything; the sum of all must stay a number.
-        beat.processes = beat.processes.min(MAX_PEERS as u32);
-        if !counts {
-            beat.loads.clear();
-            beat.processes = 0;
+        status.processes = status.processes.min(MAX_PEERS as u32);
+        if !is_accepted {
+            status.loads.clear();
+            status.processes = 0;
         }
-        let is_same = last.is_some_and(|b| {
-            b.loads == beat.loads && b.scope == beat.scope && b.registry == beat.registry
+        let is_same = last.is_some_and(|s| {
+            s.loads == status.loads && s.scope == status.scope && s.registry == status.registry
         });
-        peer.take_off(fleet);
-        for load in &beat.loads {
+        peer.remove_load(fleet);
+        for load in &status.loads {
             if let Some(upstream) = fleet.find_tag(load.upstream) {
                 upstream.others.add(load);
             }
         }
-        for changing in &beat.changing {
+        for changing in &status.changing {
             if let Some(upstream) = fleet.find_tag(changing.upstream) {
                 let left = Duration::from_millis(changing.left_ms.into());
                 upstream.peer_says_changing(now + left, now);
             }
         }
-        fleet.take_placements(&beat.placements, beat.scope != Scope::Direct, now);
-        peer.heard_at = Some(now);
-        peer.asked_at = None;
-        peer.avoided_until = None;
-        peer.avoided_for = Duration::ZERO;
-        let is_from_parent = beat.scope == Scope::Down && counts;
-        peer.beat = Some(beat);
-        self.changes += u64::from(!is_same);
+        fleet.take_placements(&status.placements, status.scope != Scope::Direct, now);
+        peer.last_seen_at = Some(now);
+        peer.root_probe_since = None;
+        peer.backoff_until = None;
+        peer.backoff = Duration::ZERO;
+        let is_from_parent = status.scope == Scope::Down && is_accepted;
+        peer.status = Some(status);
+        self.revision += u64::from(!is_same);
         if is_from_parent {
-            self.take_off_former_parents(ip, fleet);
+            self.remove_former_parents_load(ip, fleet);
         }
         true
     }
 
     /// Whether loads count that a peer tells with a scope: each process's load must
     /// come by one way only.
-    fn counts(&self, ip: IpAddr, scope: Scope) -> bool {
+    fn accepts_load(&self, ip: IpAddr, scope: Scope) -> bool {
         match scope {
             Scope::Direct | Scope::Up => true,
             Scope::Down => self.parent == Some(ip),
             Scope::Across => self.is_root || self.is_direct(),
-            Scope::Hello | Scope::Here => false,
+            Scope::Hello | Scope::HelloReply => false,
         }
     }
 
     /// Takes off what others than the parent said of the whole system.
-    fn take_off_former_parents(&mut self, parent: IpAddr, fleet: &mut Fleet) {
+    fn remove_former_parents_load(&mut self, parent: IpAddr, fleet: &mut Fleet) {
         for peer in self.all.iter_mut().filter(|p| p.ip != parent) {
             if matches!(peer.scope(), Some(Scope::Down | Scope::Across)) {
-                peer.take_off(fleet);
+                peer.remove_load(fleet);
             }
         }
     }
@@ -235,36 +241,36 @@
     /// Takes the load of peers that fell silent off the upstreams. A peer that
     /// only its datagrams made known is forgotten.
     pub fn expire(&mut self, fleet: &mut Fleet, now: Instant) {
-        let bound = self.silent();
+        let timeout = self.peer_timeout();
         let mut gone = 0;
         for peer in &mut self.all {
-            if !peer.is_live(now, bound) {
-                gone += u64::from(peer.take_off(fleet));
+            if !peer.is_live(now, timeout) {
+                gone += u64::from(peer.remove_load(fleet));
             }
         }
-        self.changes += gone;
+        self.revision += gone;
         let has_live_peer = self.live(now).next().is_some();
-        self.alone_since = match has_live_peer {
+        self.isolated_since = match has_live_peer {
             true => None,
-            false => self.alone_since.or(Some(now)),
+            false => self.isolated_since.or(Some(now)),
         };
         self.all
-            .retain(|p| p.host.is_some() || p.is_live(now, bound));
+            .retain(|p| p.host.is_some() || p.is_live(now, timeout));
     }
 
     /// Silence after which a peer counts as gone. Where each is told directly, each
     /// hears the less often the more there are.
-    fn silent(&self) -> Duration {
+    fn peer_timeout(&self) -> Duration {
         match self.is_direct() {
-            true => SILENT.max(exchange::direct_pause(self.all.len()) * 4),
-            false => SILENT,
+            true => PEER_TIMEOUT.max(exchange::direct_send_interval(self.all.len()) * 4),
+            false => PEER_TIMEOUT,
         }
     }
 
     /// Whether the process on this host holds reads of whole tables at the store. Roots always
     /// do, as does every process until the members are listed.
     pub fn is_feed_reader(&self, own: IpAddr) -> bool {
-        if self.is_direct() || !self.is_listed || self.is_root {
+        if self.is_direct() || !self.is_membership_known || self.is_root {
             return true;
         }
         let own = address_hash(own);
@@ -272,10 +278,12 @@
         before.take(FEED_READERS).count() < FEED_READERS
     }
 
-    /// Whether no peer has been heard for `ALONE_AFTER`.
-    pub fn is_alone(&self, now: Instant) -> bool {
-        let alone = self.alone_since.map(|at| now.saturating_duration_since(at));
-        alone.is_some_and(|alone| alone >= ALONE_AFTER)
+    /// Whether no peer has been heard for `ISOLATED_AFTER`.
+    pub fn is_isolated(&self, now: Instant) -> bool {
+        let silence = self
+            .isolated_since
+            .map(|at| now.saturating_duration_since(at));
+        silence.is_some_and(|silence| silence >= ISOLATED_AFTER)
     }
 
     /// The other processes that are listed in the store.
@@ -304,7 +312,7 @@
                 self.add(&member.host, member.ip, member.zone);
             }
         }
-        self.is_listed = true;
+        self.is_membership_known = true;
     }
 
     /// Whether each peer is told directly.
@@ -314,9 +322,9 @@
 
     /// Looks anew whether the processes form trees: where many are known, or a peer
     /// speaks so. One that has just started may know few while the store refuses it.
-    fn look_for_trees(&mut self, now: Instant) {
-        let is_told_so = self.live(now).any(|(_, b)| b.scope != Scope::Direct);
-        self.is_tree = is_told_so || self.all.len() > DIRECT_MOST;
+    fn update_topology(&mut self, now: Instant) {
+        let peer_uses_tree = self.live(now).any(|(_, s)| s.scope != Scope::Direct);
+        self.is_tree = peer_uses_tree || self.all.len() > MAX_DIRECT_PEERS;
     }
 
     /// Addresses of all peers that are known.
@@ -340,8 +348,8 @@
     }
 
     /// Changes when something was heard that changes what is told on.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// The peer that this process reports to, if any.
@@ -352,20 +360,20 @@
     /// Processes of the system besides this one: those that are alive as far as this
     /// process hears, or those that the store tells of if these are more. All of them
     /// share the retry budget, and one that is cut off must not take all of it.
-    pub fn processes(&self, now: Instant) -> u32 {
-        if !self.is_listed {
+    pub fn process_count(&self, now: Instant) -> u32 {
+        if !self.is_membership_known {
             return MAX_PEERS as u32;
         }
         let listed = self.all.iter().filter(|p| p.host.is_some()).count() as u32;
-        let heard: u32 = self.live(now).map(|(_, beat)| beat.processes).sum();
-        listed.max(heard)
+        let reported: u32 = self.live(now).map(|(_, status)| status.processes).sum();
+        listed.max(reported)
     }
 
     /// Peers that were heard of late.
-    pub fn live(&self, now: Instant) -> impl Iterator<Item = (&Peer, &Beat)> {
-        let bound = self.silent();
-        let live = self.all.iter().filter(move |p| p.is_live(now, bound));
-        live.filter_map(|p| p.beat.as_ref().map(|b| (p, b)))
+    pub fn live(&self, now: Instant) -> impl Iterator<Item = (&Peer, &PeerStatus)> {
+        let timeout = self.peer_timeout();
+        let live = self.all.iter().filter(move |p| p.is_live(now, timeout));
+        live.filter_map(|p| p.status.as_ref().map(|s| (p, s)))
     }
 }
 
@@ -375,36 +383,38 @@
             ip,
             host: None,
             zone: 0,
-            heard_at: None,
-            beat: None,
-            asked_at: None,
-            waits_for_answer: false,
-            avoided_until: None,
-            avoided_for: Duration::ZERO,
+            last_seen_at: None,
+            status: None,
+            root_probe_since: None,
+            awaits_reply: false,
+            backoff_until: None,
+            backoff: Duration::ZERO,
         }
     }
 
     fn scope(&self) -> Option<Scope> {
-        self.beat.as_ref().map(|b| b.scope)
+        self.status.as_ref().map(|s| s.scope)
     }
 
-    fn tells_load(&self) -> bool {
+    fn reports_load(&self) -> bool {
         self.scope().is_some_and(Scope::has_load)
     }
 
-    fn is_live(&self, now: Instant, bound: Duration) -> bool {
-        let silent = self.heard_at.map(|at| now.saturating_duration_since(at));
-        silent.is_some_and(|s| s < bound)
+    fn is_live(&self, now: Instant, timeout: Duration) -> bool {
+        let silence = self
+            .last_seen_at
+            .map(|at| now.saturating_duration_since(at));
+        silence.is_some_and(|s| s < timeout)
     }
 
     /// Takes what it last said off the upstreams; only its versions are kept. Says
     /// whether there was something.
-    fn take_off(&mut self, fleet: &mut Fleet) -> bool {
-        let Some(beat) = &mut self.beat else {
+    fn remove_load(&mut self, fleet: &mut Fleet) -> bool {
+        let Some(status) = &mut self.status else {
             return false;
         };
-        let had_some = std::mem::take(&mut beat.processes) > 0 || !beat.loads.is_empty();
-        for load in std::mem::take(&mut beat.loads) {
+        let had_some = std::mem::take(&mut status.processes) > 0 || !status.loads.is_empty();
+        for load in std::mem::take(&mut status.loads) {
             if let Some(upstream) = fleet.find_tag(load.upstream) {
                 upstream.others.take_off(&load);
             }
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -6,8 +6,8 @@
 
 use crate::fleet::durations::Told;
 use crate::follow;
-use crate::peers::first_look::{self, Snapshot};
-use crate::peers::{Beat, Member};
+use crate::peers::startup_load::{self, Snapshot};
+use crate::peers::{Member, PeerStatus};
 use crate::state::Gateway;
 use hyper::body::Incoming;
 use hyper::header::HOST;
@@ -24,24 +24,24 @@
 
 /// Time that the store has to bring what a peer has already before the peer is
 /// asked: asking is for processes that the store refuses.
-const PEER_AHEAD: Duration = Duration::from_millis(250);
+const STORE_GRACE: Duration = Duration::from_millis(250);
 /// The same for a process that has never read the registry, while all tell each other
 /// directly: all would ask the same that has read it first, when all start together.
 /// In a tree few do.
-const FIRST_READ_AHEAD: Duration = Duration::from_millis(1500);
+const FIRST_READ_GRACE: Duration = Duration::from_millis(1500);
 /// Pause between two looks at what peers know, besides those that a datagram of a peer
 /// with a newer registry brings about.
-const ASK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_EVERY: Duration = Duration::from_millis(200);
 /// Longest wait for a peer's answer: 300 KB over a link of 10 Mbit/s take 240 ms.
-const ASK_TIMEOUT: Duration = Duration::from_millis(1000);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest wait for a peer's snapshot. Shorter, as a peer that doesn't answer delays the start.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest answer of a peer: some thousand routes or upstreams.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// How often a process that has just started asks peers how long answers take: those that
 /// started with it know no more. And the pause between two rounds, also of one that stops.
-const DURATIONS_ASKED: u32 = 3;
+const DURATIONS_ATTEMPTS: u32 = 3;
 const DURATIONS_PAUSE: Duration = Duration::from_millis(700);
 
 /// Shortest interval between two reads of the members from a peer. New members are known
@@ -76,44 +76,44 @@
 }
 
 /// Asks peers for what they know and this process doesn't, until it ends.
-pub async fn ask(gateway: Arc<Gateway>) {
+pub async fn fetch_updates(gateway: Arc<Gateway>) {
     let started_at = Instant::now();
-    let mut config_ahead = None;
-    let mut members_asked_at = started_at;
+    let mut config_ahead_since = None;
+    let mut members_fetched_at = started_at;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(ASK_EVERY) => {}
+            () = tokio::time::sleep(CHECK_EVERY) => {}
             () = gateway.behind.notified() => {}
         }
         let now = Instant::now();
-        match ahead(&gateway, |beat| beat.config, gateway.config_version()) {
-            None => config_ahead = None,
-            Some(ip) if now - *config_ahead.get_or_insert(now) >= config_delay(&gateway) => {
+        match peer_with_newer(&gateway, |status| status.config, gateway.config_version()) {
+            None => config_ahead_since = None,
+            Some(ip) if now - *config_ahead_since.get_or_insert(now) >= config_delay(&gateway) => {
                 if let Some(config) = fetch::<Config>(&gateway, ip, CONFIG_PATH).await {
                     follow::put_in_force(&gateway, config, "peer");
                 }
             }
             Some(_) => {}
         }
-        if now - members_asked_at >= MEMBERS_EVERY && !gateway.is_feed_reader() {
+        if now - members_fetched_at >= MEMBERS_EVERY && !gateway.is_feed_reader() {
             let known = gateway.members_version();
-            if let Some(ip) = ahead(&gateway, |beat| beat.members, known) {
-                members_asked_at = now;
-                take_members(&gateway, ip).await;
+            if let Some(ip) = peer_with_newer(&gateway, |status| status.members, known) {
+                members_fetched_at = now;
+                fetch_members(&gateway, ip).await;
             }
         }
         // A peer that is ahead and knows the same has been taken at its word.
         let known = gateway.registry().version;
         let may_wait = known == 0 && gateway.peers().is_direct();
-        if may_wait && now - started_at < FIRST_READ_AHEAD {
+        if may_wait && now - started_at < FIRST_READ_GRACE {
             continue;
         }
-        let Some(ip) = ahead(&gateway, |beat| beat.registry, known) else {
+        let Some(ip) = peer_with_newer(&gateway, |status| status.registry, known) else {
             continue;
         };
-        if !take_registry(&gateway, ip, known).await {
+        if !fetch_registry(&gateway, ip, known).await {
             // Its datagrams go on telling of it, a hundred a second.
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(CHECK_EVERY).await;
         }
     }
 }
@@ -122,15 +122,15 @@
 /// A process that isn't a feed reader doesn't wait.
 fn config_delay(gateway: &Gateway) -> Duration {
     match gateway.is_feed_reader() {
-        true => PEER_AHEAD,
+        true => STORE_GRACE,
         false => Duration::ZERO,
     }
 }
 
 /// Fetches the members from a peer and applies them.
-async fn take_members(gateway: &Gateway, ip: IpAddr) {
-    let told = fetch::<(u64, Vec<Member>)>(gateway, ip, MEMBERS_PATH).await;
-    let Some((version, members)) = told.filter(|(version, _)| *version > 0) else {
+async fn fetch_members(gateway: &Gateway, ip: IpAddr) {
+    let members = fetch::<(u64, Vec<Member>)>(gateway, ip, MEMBERS_PATH).await;
+    let Some((version, members)) = members.filter(|(version, _)| *version > 0) else {
         return;
     };
     let own = gateway.host().ip;
@@ -152,15 +152,15 @@
 
 /// Takes from a peer how long answers take, once this process knows its services. Peers that
 /// have just started too tell nothing; then another is asked.
-pub async fn take_durations(gateway: Arc<Gateway>) {
-    let mut asked = 0;
-    while asked < DURATIONS_ASKED {
+pub async fn fetch_durations(gateway: Arc<Gateway>) {
+    let mut attempts = 0;
+    while attempts < DURATIONS_ATTEMPTS {
         tokio::time::sleep(DURATIONS_PAUSE).await;
-        let Some(ip) = fastrand::choice(live(&gateway)).filter(|_| gateway.is_ready()) else {
+        let Some(ip) = fastrand::choice(live_peers(&gateway)).filter(|_| gateway.is_ready()) else {
             continue;
         };
-        asked += 1;
-        if take_durations_of(&gateway, ip).await {
+        attempts += 1;
+        if fetch_durations_from(&gateway, ip).await {
             return;
         }
     }
@@ -168,29 +168,29 @@
 
 /// Takes from all peers that this process hears how long answers take, from the stop signal
 /// on until it takes no more requests: each has seen a share of the slow ones.
-pub async fn take_all_durations(gateway: Arc<Gateway>) {
+pub async fn fetch_all_durations(gateway: Arc<Gateway>) {
     let ending = gateway.stopping().await;
     while Instant::now() < ending.closed_at {
         // At once: one that doesn't answer must not hold up what the others know.
-        let asked = live(&gateway)
+        let requests = live_peers(&gateway)
             .into_iter()
             .map(|ip| (gateway.clone(), ip))
-            .map(|(gateway, ip)| async move { take_durations_of(&gateway, ip).await });
-        asked.collect::<JoinSet<bool>>().join_all().await;
+            .map(|(gateway, ip)| async move { fetch_durations_from(&gateway, ip).await });
+        requests.collect::<JoinSet<bool>>().join_all().await;
         tokio::time::sleep(DURATIONS_PAUSE).await;
     }
 }
 
 /// Takes from a peer how long answers take; says whether it has seen any.
-async fn take_durations_of(gateway: &Gateway, ip: IpAddr) -> bool {
-    let Some(told) = fetch::<Vec<Told>>(gateway, ip, DURATIONS_PATH).await else {
+async fn fetch_durations_from(gateway: &Gateway, ip: IpAddr) -> bool {
+    let Some(durations) = fetch::<Vec<Told>>(gateway, ip, DURATIONS_PATH).await else {
         return false;
     };
-    gateway.fleet().take_durations(&told, Instant::now());
-    !told.is_empty()
+    gateway.fleet().take_durations(&durations, Instant::now());
+    !durations.is_empty()
 }
 
-fn live(gateway: &Gateway) -> Vec<IpAddr> {
+fn live_peers(gateway: &Gateway) -> Vec<IpAddr> {
     let peers = gateway.peers();
     let live = peers.live(Instant::now());
     live.map(|(peer, _)| peer.ip).collect()
@@ -198,7 +198,7 @@
 
 /// Takes a peer's registry: what has changed, or all of it if that isn't enough. Says
 /// whether this process knows the same as the peer then.
-async fn take_registry(gateway: &Arc<Gateway>, ip: IpAddr, known: u64) -> bool {
+async fn fetch_registry(gateway: &Arc<Gateway>, ip: IpAddr, known: u64) -> bool {
     // What is held back is settled by a whole registry only.
     let since = match gateway.missing().is_empty() {
         true => known,
@@ -210,7 +210,7 @@
         let Some(changes) = fetch::<RegistryChanges>(gateway, ip, &path).await else {
             return false;
         };
-        if take_changes(gateway, changes, asked_at) {
+        if apply_changes(gateway, changes, asked_at) {
             return true;
         }
     }
@@ -219,7 +219,7 @@
 
 /// Takes changes of the registry that a peer was asked for at a time; says whether this
 /// process knows the same as the peer then.
-pub fn take_changes(gateway: &Arc<Gateway>, changes: RegistryChanges, asked_at: Instant) -> bool {
+pub fn apply_changes(gateway: &Arc<Gateway>, changes: RegistryChanges, asked_at: Instant) -> bool {
     let RegistryChanges {
         version,
         view,
@@ -232,8 +232,8 @@
     let gone = changes.gone.into_iter();
     let gone = gone.map(|id| Registration::Removed { id });
     follow::merge_peers(gateway, present.chain(gone).collect(), is_whole, version);
-    let ago = Duration::from_millis(read_ms_ago.into());
-    if let Some(read_at) = asked_at.checked_sub(ago) {
+    let age = Duration::from_millis(read_ms_ago.into());
+    if let Some(read_at) = asked_at.checked_sub(age) {
         gateway.note_read(version, read_at, store_ms);
     }
     let known = gateway.registry();
@@ -249,21 +249,27 @@
 
 /// A live peer with the newest version of something, if it is newer than ours; any
 /// of those that have it, so that not all ask the same.
-fn ahead(gateway: &Gateway, version: impl Fn(&Beat) -> u64, known: u64) -> Option<IpAddr> {
+fn peer_with_newer(
+    gateway: &Gateway,
+    version: impl Fn(&PeerStatus) -> u64,
+    known: u64,
+) -> Option<IpAddr> {
     let peers = gateway.peers();
     let now = Instant::now();
-    let newest = peers.live(now).map(|(_, beat)| version(beat)).max()?;
+    let newest = peers.live(now).map(|(_, status)| version(status)).max()?;
     if newest <= known {
         return None;
     }
-    let live = peers.live(now).filter(|(_, beat)| version(beat) == newest);
+    let live = peers
+        .live(now)
+        .filter(|(_, status)| version(status) == newest);
     let all: Vec<IpAddr> = live.map(|(peer, _)| peer.ip).collect();
     fastrand::choice(all)
 }
 
 async fn fetch<T: DeserializeOwned>(gateway: &Gateway, ip: IpAddr, path: &str) -> Option<T> {
     let addr = SocketAddr::new(ip, gateway.host().peer_port);
-    let why = match get(gateway, addr, path, ASK_TIMEOUT).await {
+    let why = match get(gateway, addr, path, REQUEST_TIMEOUT).await {
         Ok((StatusCode::OK, body)) => match wire::decode(&body) {
             Some(value) => return Some(value),
             None => "malformed answer".to_owned(),
@@ -291,28 +297,28 @@
         .body(empty())
         .map_err(|e| CallError::NotSent(e.to_string()))?;
     let pool = Pool::new(addr, timeout).metered(&gateway.peer_bytes);
-    pool.call(req, MAX_ANSWER, timeout).await
+    pool.call(req, MAX_RESPONSE_BYTES, timeout).await
 }
 
 /// Answers a peer's question.
-pub fn answer(gateway: &Gateway, req: &Request<Incoming>) -> Response<Body> {
+pub fn handle_request(gateway: &Gateway, req: &Request<Incoming>) -> Response<Body> {
     let path = req.uri().path();
-    let known = match path.strip_prefix(REGISTRY_PATH) {
-        Some(since) => registry_since(gateway, since),
-        None if path == DURATIONS_PATH => Some(durations(gateway)),
+    let body = match path.strip_prefix(REGISTRY_PATH) {
+        Some(since) => encode_changes_since(gateway, since),
+        None if path == DURATIONS_PATH => Some(encode_durations(gateway)),
         None if path == SNAPSHOT_PATH => {
-            let snapshot = first_look::snapshot(gateway);
-            snapshot.map(|known| wire::encode_compact(&known))
+            let snapshot = startup_load::snapshot(gateway);
+            snapshot.map(|snapshot| wire::encode_compact(&snapshot))
         }
         None if path == MEMBERS_PATH => {
             let members = gateway.peers().members();
-            let known = (gateway.members_version(), members);
-            Some(wire::encode_compact(&known))
+            let members = (gateway.members_version(), members);
+            Some(wire::encode_compact(&members))
         }
         None if path == CONFIG_PATH => gateway.routes().map(|t| wire::encode(&t.config)),
         None => None,
     };
-    let Some(body) = known else {
+    let Some(body) = body else {
         let mut res = Response::new(empty());
         *res.status_mut() = StatusCode::NOT_FOUND;
         return res;
@@ -320,12 +326,12 @@
     Response::new(full(body))
 }
 
-fn durations(gateway: &Gateway) -> Vec<u8> {
-    let told = gateway.fleet().told_durations(Instant::now());
-    wire::encode_compact(&told)
+fn encode_durations(gateway: &Gateway) -> Vec<u8> {
+    let durations = gateway.fleet().told_durations(Instant::now());
+    wire::encode_compact(&durations)
 }
 
-fn registry_since(gateway: &Gateway, since: &str) -> Option<Vec<u8>> {
+fn encode_changes_since(gateway: &Gateway, since: &str) -> Option<Vec<u8>> {
     let changes = gateway.changes_since(since.parse().ok()?)?;
     Some(wire::encode_compact(&changes))
 }
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::StartError;
 use crate::crashes;
-use crate::peers::{Beat, Load, Scope, catch_up};
+use crate::peers::{Load, PeerStatus, Scope, catch_up};
 use crate::state::{Gateway, Registry};
 use net::server::bind;
 use net::{HeadLimits, Protocol, Server, Stop};
@@ -22,70 +22,70 @@
 /// at each of up to seven steps. Where 103 processes choose among the same engines,
 /// estimates explain 0.55 of the variance of reading times in a burst with this and none
 /// with 25 to 40 ms, and 0.03 to 0.09 more of what is owed is earned.
-const TREE_EVERY: Duration = Duration::from_millis(10);
+const TREE_SEND_EVERY: Duration = Duration::from_millis(10);
 /// Bytes a second over a link of the tree, so that what is told of 600 upstreams doesn't
 /// take more than a tenth of a link of 10 Mbit/s: larger datagrams are sent less often.
 const TREE_BYTES_PER_S: f64 = 80_000.0;
 /// Steps from any process to any other: up and down three levels, and across.
-const TREE_STEPS: u32 = 7;
+const MAX_TREE_HOPS: u32 = 7;
 /// Datagrams that tell of a placement, as one may be lost.
-const PLACEMENT_TOLD: u32 = 4;
+const PLACEMENT_SENDS: u32 = 4;
 /// Longest time between two datagrams, so that a silent peer is a lost one.
-const SEND_AT_LEAST: Duration = Duration::from_millis(200);
+const MAX_SEND_INTERVAL: Duration = Duration::from_millis(200);
 /// Largest datagram: 12 bytes for each of some thousand upstreams.
-const MAX_DATAGRAM: usize = 16 << 10;
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 /// Most upstreams whose load one datagram tells of.
 const MAX_LOADS: usize = 1200;
 /// Most senders of unreadable datagrams that are logged.
-const MAX_UNREADABLE: usize = 1024;
+const MAX_UNREADABLE_SENDERS: usize = 1024;
 /// Largest head, and longest idle time, of a peer's connection.
-const MAX_HEAD: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Starts to tell and to hear, and answers peers' questions.
 pub fn start(gateway: &Arc<Gateway>) -> Result<Stop, StartError> {
     let host = gateway.host();
     let addr = SocketAddr::new(host.ip, host.peer_port);
-    let bad = |e| StartError::Bind(addr, e);
-    let listener = bind(addr).map_err(bad)?;
-    let socket = std::net::UdpSocket::bind(addr).map_err(bad)?;
-    socket.set_nonblocking(true).map_err(bad)?;
-    let socket = Arc::new(UdpSocket::from_std(socket).map_err(bad)?);
+    let bind_error = |e| StartError::Bind(addr, e);
+    let listener = bind(addr).map_err(bind_error)?;
+    let socket = std::net::UdpSocket::bind(addr).map_err(bind_error)?;
+    socket.set_nonblocking(true).map_err(bind_error)?;
+    let socket = Arc::new(UdpSocket::from_std(socket).map_err(bind_error)?);
     let stop = Stop::default();
     let server = Server {
-        head: HeadLimits::new(IDLE_TIMEOUT, MAX_HEAD),
+        head: HeadLimits::new(IDLE_TIMEOUT, MAX_HEAD_BYTES),
         protocol: Protocol::Http1,
         drain: Stop::default(),
         stop: stop.clone(),
     };
-    let served = gateway.clone();
+    let serving = gateway.clone();
     tokio::spawn(server.run(listener, move |req| {
-        let res = catch_up::answer(&served, &req);
+        let res = catch_up::handle_request(&serving, &req);
         async move { res }
     }));
-    tokio::spawn(hear(gateway.clone(), socket.clone()));
-    tokio::spawn(tell(gateway.clone(), socket));
-    tokio::spawn(catch_up::ask(gateway.clone()));
-    tokio::spawn(catch_up::take_durations(gateway.clone()));
-    tokio::spawn(catch_up::take_all_durations(gateway.clone()));
+    tokio::spawn(receive(gateway.clone(), socket.clone()));
+    tokio::spawn(send_updates(gateway.clone(), socket));
+    tokio::spawn(catch_up::fetch_updates(gateway.clone()));
+    tokio::spawn(catch_up::fetch_durations(gateway.clone()));
+    tokio::spawn(catch_up::fetch_all_durations(gateway.clone()));
     Ok(stop)
 }
 
 /// Senders whose datagrams can't be read, as processes of another version. Each is
 /// logged once: they send a hundred a second.
 #[derive(Debug, Default)]
-pub struct Unreadable {
+pub struct UnreadableSenders {
     /// Sorted.
     senders: Vec<IpAddr>,
 }
 
-impl Unreadable {
+impl UnreadableSenders {
     /// Notes a sender; says whether it is to be logged.
-    pub fn is_new(&mut self, sender: IpAddr) -> bool {
+    pub fn record_failure(&mut self, sender: IpAddr) -> bool {
         let Err(at) = self.senders.binary_search(&sender) else {
             return false;
         };
-        let has_room = self.senders.len() < MAX_UNREADABLE;
+        let has_room = self.senders.len() < MAX_UNREADABLE_SENDERS;
         if has_room {
             self.senders.insert(at, sender);
         }
@@ -93,7 +93,7 @@
     }
 
     /// Notes that a sender's datagram was read: it has another version now.
-    pub fn is_read(&mut self, sender: IpAddr) {
+    pub fn record_success(&mut self, sender: IpAddr) {
         if let Ok(at) = self.senders.binary_search(&sender) {
             self.senders.remove(at);
         }
@@ -101,16 +101,16 @@
 }
 
 /// Hears datagrams until the process ends.
-async fn hear(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
-    let mut unreadable = Unreadable::default();
+async fn receive(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
+    let mut unreadable = UnreadableSenders::default();
     loop {
         // An error here means that an earlier datagram met a closed port.
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
             continue;
         };
-        let Some(beat) = wire::decode::<Beat>(&buf[..len]) else {
-            if unreadable.is_new(from.ip()) {
+        let Some(status) = wire::decode::<PeerStatus>(&buf[..len]) else {
+            if unreadable.record_failure(from.ip()) {
                 emit(&Event::Undecodable {
                     what: "datagram of a peer",
                     why: format!("{len} bytes from {from}; told once for each peer"),
@@ -118,22 +118,23 @@
             }
             continue;
         };
-        unreadable.is_read(from.ip());
+        unreadable.record_success(from.ip());
         let now = Instant::now();
-        crashes::hear(&gateway, &beat, now);
-        if beat.registry > gateway.registry().version || beat.config > gateway.config_version() {
+        crashes::receive(&gateway, &status, now);
+        if status.registry > gateway.registry().version || status.config > gateway.config_version()
+        {
             gateway.behind.notify_one();
         }
         let read = now
-            .checked_sub(Duration::from_millis(beat.registry_ms.into()))
+            .checked_sub(Duration::from_millis(status.registry_ms.into()))
             .map(|read_at| Registry {
-                version: beat.registry,
+                version: status.registry,
                 read_at,
-                store_ms: beat.registry_at_ms,
-                view: beat.view,
+                store_ms: status.registry_at_ms,
+                view: status.view,
             });
         let mut peers = gateway.peers();
-        if peers.hear(from.ip(), beat, &mut gateway.fleet(), now)
+        if peers.receive(from.ip(), status, &mut gateway.fleet(), now)
             && let Some(read) = read
             // The ages that it tells are of when it was sent.
             && !gateway.may_have_waited(now)
@@ -144,56 +145,56 @@
 }
 
 /// What was told last, and when.
-struct Told {
+struct LastSent {
     at: Instant,
-    beat: Beat,
-    changes: u64,
+    status: PeerStatus,
+    revision: u64,
     /// Bytes of the longest datagram.
     len: usize,
 }
 
 /// Tells the peers of this process's load until the process ends.
-async fn tell(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+async fn send_updates(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let start = fastrand::u32(..);
     let mut number = 0;
-    let mut last: Option<Told> = None;
+    let mut last: Option<LastSent> = None;
     loop {
         expire(&gateway);
-        let len = last.as_ref().map_or(0, |told| told.len);
-        let pause = pause(&gateway, len);
-        tokio::time::sleep(pause).await;
+        let len = last.as_ref().map_or(0, |sent| sent.len);
+        let interval = send_interval(&gateway, len);
+        tokio::time::sleep(interval).await;
         gateway.tick();
-        let mut beat = own_beat(&gateway, pause * PLACEMENT_TOLD);
-        let changes = gateway.peers().changes();
-        let is_same = last.as_ref().is_some_and(|told| {
-            let is_same = told.changes == changes && says_the_same(&told.beat, &beat);
-            is_same && told.at.elapsed() < SEND_AT_LEAST
+        let mut status = own_status(&gateway, interval * PLACEMENT_SENDS);
+        let revision = gateway.peers().revision();
+        let is_same = last.as_ref().is_some_and(|sent| {
+            let is_same = sent.revision == revision && is_equivalent(&sent.status, &status);
+            is_same && sent.at.elapsed() < MAX_SEND_INTERVAL
         });
         if is_same {
             continue;
         }
         number += 1;
-        beat.start = start;
-        beat.number = number;
-        let len = send(&gateway, &socket, &beat);
+        status.start = start;
+        status.number = number;
+        let len = send(&gateway, &socket, &status);
         let at = Instant::now();
-        last = Some(Told {
+        last = Some(LastSent {
             at,
-            beat,
-            changes,
+            status,
+            revision,
             len,
         });
     }
 }
 
 /// What this process says for itself.
-fn own_beat(gateway: &Gateway, placements_within: Duration) -> Beat {
+fn own_status(gateway: &Gateway, placements_within: Duration) -> PeerStatus {
     let now = Instant::now();
     let settled = gateway.settled_registry();
     let mut fleet = gateway.fleet();
     let mut loads: Vec<Load> = fleet.iter().filter_map(|(_, u)| u.load()).collect();
     loads.sort_unstable_by_key(|load| load.upstream);
-    Beat {
+    PeerStatus {
         start: 0,
         number: 0,
         scope: Scope::Direct,
@@ -208,14 +209,15 @@
         loads,
         changing: fleet.changing(now),
         placements: fleet.new_placements(placements_within, now),
-        crashes: crashes::news(gateway, now),
+        crashes: crashes::pending_reports(gateway, now),
     }
 }
 
 /// Whether two beats of this process tell peers the same. The age of the registry
 /// may wait for the next datagram.
-fn says_the_same(a: &Beat, b: &Beat) -> bool {
-    let tags = |beat: &Beat| -> Vec<u32> { beat.changing.iter().map(|c| c.upstream).collect() };
+fn is_equivalent(a: &PeerStatus, b: &PeerStatus) -> bool {
+    let tags =
+        |status: &PeerStatus| -> Vec<u32> { status.changing.iter().map(|c| c.upstream).collect() };
     a.loads == b.loads
         && a.config == b.config
         && a.registry == b.registry
@@ -226,20 +228,20 @@
 }
 
 /// Sends each peer what it is to know; gives the length of the longest datagram.
-fn send(gateway: &Gateway, socket: &UdpSocket, beat: &Beat) -> usize {
-    let told = gateway
+fn send(gateway: &Gateway, socket: &UdpSocket, status: &PeerStatus) -> usize {
+    let outgoing = gateway
         .peers()
-        .tell(gateway.location(), beat, Instant::now());
+        .outgoing(gateway.location(), status, Instant::now());
     let port = gateway.host().peer_port;
     let mut longest = 0;
     let mut encoded: Option<(Scope, Vec<u8>)> = None;
-    for (ip, mut beat) in told {
-        bound_loads(&mut beat);
+    for (ip, mut status) in outgoing {
+        truncate_loads(&mut status);
         // Directly all peers are told the same.
         let is_encoded =
-            matches!(&encoded, Some((Scope::Direct, _)) if beat.scope == Scope::Direct);
+            matches!(&encoded, Some((Scope::Direct, _)) if status.scope == Scope::Direct);
         if !is_encoded {
-            encoded = Some((beat.scope, wire::encode_compact(&beat)));
+            encoded = Some((status.scope, wire::encode_compact(&status)));
         }
         let Some((_, buf)) = &encoded else { continue };
         longest = longest.max(buf.len());
@@ -252,41 +254,42 @@
 
 /// Leaves out the upstreams with the least to do, if there are too many for one
 /// datagram.
-fn bound_loads(beat: &mut Beat) {
-    if beat.loads.len() <= MAX_LOADS {
+fn truncate_loads(status: &mut PeerStatus) {
+    if status.loads.len() <= MAX_LOADS {
         return;
     }
-    beat.loads
+    status
+        .loads
         .sort_unstable_by_key(|load| std::cmp::Reverse((load.waiting, load.running)));
-    beat.loads.truncate(MAX_LOADS);
-    beat.loads.sort_unstable_by_key(|load| load.upstream);
+    status.loads.truncate(MAX_LOADS);
+    status.loads.sort_unstable_by_key(|load| load.upstream);
 }
 
 /// Time until the next datagrams, of which the longest had a length lately.
-fn pause(gateway: &Gateway, len: usize) -> Duration {
+fn send_interval(gateway: &Gateway, len: usize) -> Duration {
     let peers = gateway.peers();
     match peers.is_direct() {
-        true => direct_pause(peers.len()),
+        true => direct_send_interval(peers.len()),
         false => {
             let by_bytes = Duration::from_secs_f64(len as f64 / TREE_BYTES_PER_S);
-            by_bytes.clamp(TREE_EVERY, SEND_AT_LEAST)
+            by_bytes.clamp(TREE_SEND_EVERY, MAX_SEND_INTERVAL)
         }
     }
 }
 
 /// Shortest time between two datagrams to each of so many peers that are told
 /// directly.
-pub fn direct_pause(peers: usize) -> Duration {
+pub fn direct_send_interval(peers: usize) -> Duration {
     SEND_EVERY.max(SEND_EVERY_PER_PEER * peers as u32)
 }
 
 /// Time in which all live peers have heard what this process knows now: two
 /// datagrams for each step, as one may be lost, and the way.
-pub fn time_to_tell(gateway: &Gateway) -> Duration {
+pub fn propagation_time(gateway: &Gateway) -> Duration {
     let peers = gateway.peers();
     match peers.is_direct() {
-        true => direct_pause(peers.len()) * 2 + SEND_EVERY,
-        false => TREE_EVERY * 2 * TREE_STEPS,
+        true => direct_send_interval(peers.len()) * 2 + SEND_EVERY,
+        false => TREE_SEND_EVERY * 2 * MAX_TREE_HOPS,
     }
 }
 
@@ -299,7 +302,7 @@
     peers.expire(&mut fleet, now);
     let before = peers.parent();
     peers.choose_parent(own, &mut fleet, now);
-    let (parent, processes) = (peers.parent(), peers.processes(now));
+    let (parent, processes) = (peers.parent(), peers.process_count(now));
     drop((fleet, peers));
     if parent != before {
         emit(&Event::ReportsTo {
--- a/crates/gateway/src/peers/links.rs
+++ b/crates/gateway/src/peers/links.rs
@@ -1,7 +1,7 @@
 //! Whom a process tells what, and whom it reports to.
 
-use super::message::sum;
-use super::{Beat, Location, Peer, Peers, Scope, tree};
+use super::message::sum_by_upstream;
+use super::{Location, Peer, PeerStatus, Peers, Scope, tree};
 use crate::fleet::Fleet;
 use quota::lending::Zone;
 use std::net::IpAddr;
@@ -9,43 +9,43 @@
 
 /// For how long one that may be a root and doesn't answer is left alone, at first and
 /// at most: a restart takes a second or two.
-const AVOIDED: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(30));
-/// Processes of another zone that are asked at once whether they are its root.
-const ROOTS_ASKED: usize = 8;
+const ROOT_PROBE_BACKOFF: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(30));
+/// Processes of another zone that are probed at once whether they are its root.
+const MAX_ROOT_PROBES: usize = 8;
 /// Pause between two questions whether those are there that a process may report to,
 /// while it reports to none.
 const HELLO_EVERY: Duration = Duration::from_millis(200);
 /// The same while it reports to another than usual.
-const HELLO_USUAL_EVERY: Duration = Duration::from_secs(2);
+const HELLO_PREFERRED_EVERY: Duration = Duration::from_secs(2);
 /// Processes that share a place behind the roots.
-const SHARE_A_PLACE: usize = 4;
-/// Time in which the first of those that are asked answer. A process that hears none of
+const PROCESSES_PER_RANK: usize = 4;
+/// Time in which the first of those that are probed answer. A process that hears none of
 /// them takes itself for the root of its zone.
-const SEARCH: Duration = Duration::from_millis(300);
+const PARENT_SEARCH_TIME: Duration = Duration::from_millis(300);
 
 impl Peers {
     /// Chooses anew whom this process reports to, among those that it hears.
     pub fn choose_parent(&mut self, own: Location, fleet: &mut Fleet, now: Instant) {
-        self.look_for_trees(now);
-        let zone = self.zone_before(own);
-        let bound = self.silent();
-        let is_live = |at: usize| self.all[zone[at]].is_live(now, bound);
+        self.update_topology(now);
+        let zone = self.parent_candidates(own);
+        let timeout = self.peer_timeout();
+        let is_live = |at: usize| self.all[zone[at]].is_live(now, timeout);
         let parent = match self.is_direct() {
             true => None,
             false => tree::parent(zone.len(), is_live).map(|at| self.all[zone[at]].ip),
         };
         let may_search = !self.is_direct() && parent.is_none() && !zone.is_empty();
-        self.searches_since = match may_search {
-            true => self.searches_since.or(Some(now)),
+        self.parent_search_since = match may_search {
+            true => self.parent_search_since.or(Some(now)),
             false => None,
         };
-        let is_over = |since: Instant| now.saturating_duration_since(since) >= SEARCH;
-        self.is_root = parent.is_none() && self.searches_since.is_none_or(is_over);
+        let is_over = |since: Instant| now.saturating_duration_since(since) >= PARENT_SEARCH_TIME;
+        self.is_root = parent.is_none() && self.parent_search_since.is_none_or(is_over);
         self.set_parent(parent, fleet);
     }
 
     /// Places of the peers of the own zone that this process may report to, in order.
-    fn zone_before(&self, own: Location) -> Vec<usize> {
+    fn parent_candidates(&self, own: Location) -> Vec<usize> {
         let before = self.all.iter().take_while(|p| p.ip < own.ip).enumerate();
         let zone = before.filter(|(_, p)| p.zone == own.zone);
         zone.map(|(at, _)| at).collect()
@@ -56,75 +56,82 @@
             return;
         }
         self.parent = parent;
-        self.changes += 1;
+        self.revision += 1;
         if parent.is_some() {
             // The former parent's word stands until the new one's comes.
             return;
         }
         for peer in &mut self.all {
             if peer.scope() == Some(Scope::Down) {
-                peer.take_off(fleet);
+                peer.remove_load(fleet);
             }
         }
     }
 
     /// What each peer is to be told now, given what this process says for itself.
-    pub fn tell(&mut self, own: Location, beat: &Beat, now: Instant) -> Vec<(IpAddr, Beat)> {
-        let links = self.links(own, now);
-        let told = links.into_iter().map(|(ip, scope)| {
-            let beat = self.compose(beat, ip, scope, now);
-            (ip, beat)
+    pub fn outgoing(
+        &mut self,
+        own: Location,
+        status: &PeerStatus,
+        now: Instant,
+    ) -> Vec<(IpAddr, PeerStatus)> {
+        let recipients = self.recipients(own, now);
+        let outgoing = recipients.into_iter().map(|(ip, scope)| {
+            let status = self.compose(status, ip, scope, now);
+            (ip, status)
         });
-        told.collect()
+        outgoing.collect()
     }
 
-    fn links(&mut self, own: Location, now: Instant) -> Vec<(IpAddr, Scope)> {
-        let bound = self.silent();
+    fn recipients(&mut self, own: Location, now: Instant) -> Vec<(IpAddr, Scope)> {
+        let timeout = self.peer_timeout();
         let is_direct = self.is_direct();
         let scope = |p: &Peer| {
-            let scope = p.scope().filter(|_| p.is_live(now, bound));
+            let scope = p.scope().filter(|_| p.is_live(now, timeout));
             match scope {
                 Some(Scope::Up) => Some(Scope::Down),
                 _ if is_direct => Some(Scope::Direct),
                 _ if Some(p.ip) == self.parent => Some(Scope::Up),
                 Some(Scope::Across) if self.is_root => Some(Scope::Across),
-                _ => p.waits_for_answer.then_some(Scope::Here),
+                _ => p.awaits_reply.then_some(Scope::HelloReply),
             }
         };
         let all = self.all.iter();
         let mut out: Vec<_> = all.filter_map(|p| Some((p.ip, scope(p)?))).collect();
         for peer in &mut self.all {
-            peer.waits_for_answer = false;
+            peer.awaits_reply = false;
         }
         if is_direct {
             return out;
         }
-        let mut hellos = self.say_hello(own, now);
-        hellos.extend(self.say_hello_below(own, now));
+        let mut hellos = self.hellos_to_parents(own, now);
+        hellos.extend(self.hellos_to_children(own, now));
         out.extend(hellos.into_iter().map(|ip| (ip, Scope::Hello)));
         if self.is_root {
-            let roots = self.ask_roots(own, now);
+            let roots = self.probe_roots(own, now);
             out.extend(roots.into_iter().map(|ip| (ip, Scope::Across)));
         }
         out
     }
 
-    /// Peers that are asked whether they are there: all that this process may report
+    /// Peers that are probed whether they are there: all that this process may report
     /// to while it has none, else those that it would rather report to.
-    fn say_hello(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
+    fn hellos_to_parents(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
         let pause = match self.parent {
-            Some(_) => HELLO_USUAL_EVERY,
+            Some(_) => HELLO_PREFERRED_EVERY,
             None => HELLO_EVERY,
         };
-        let since = self.hello_at.map(|at| now.saturating_duration_since(at));
+        let since = self
+            .last_hello_at
+            .map(|at| now.saturating_duration_since(at));
         if since.is_some_and(|since| since < pause) {
             return Vec::new();
         }
-        self.hello_at = Some(now);
-        let zone = self.zone_before(own);
+        self.last_hello_at = Some(now);
+        let zone = self.parent_candidates(own);
         let ip = |at: usize| self.all[zone[at]].ip;
         match self.parent {
-            Some(parent) => tree::above(zone.len())
+            Some(parent) => tree::ancestors(zone.len())
                 .map(ip)
                 .take_while(|ip| *ip != parent)
                 .collect(),
@@ -135,48 +142,48 @@
     /// Peers that usually report to this process and that it doesn't hear. One that
     /// started while the store refuses it knows nobody, and serves nobody until a peer
     /// tells it the configuration.
-    fn say_hello_below(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
-        let since = self.hello_below_at;
+    fn hellos_to_children(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
+        let since = self.last_child_hello_at;
         let since = since.map(|at| now.saturating_duration_since(at));
-        if since.is_some_and(|since| since < HELLO_USUAL_EVERY) {
+        if since.is_some_and(|since| since < HELLO_PREFERRED_EVERY) {
             return Vec::new();
         }
-        self.hello_below_at = Some(now);
-        let position = self.zone_before(own).len();
+        self.last_child_hello_at = Some(now);
+        let position = self.parent_candidates(own).len();
         let after = self
             .all
             .iter()
             .filter(|p| p.zone == own.zone && p.ip > own.ip);
         let after: Vec<&Peer> = after.collect();
-        let bound = self.silent();
-        let below = tree::below(position).filter_map(|at| after.get(at - position - 1));
-        let silent = below.filter(|p| !p.is_live(now, bound));
+        let timeout = self.peer_timeout();
+        let children = tree::children(position).filter_map(|at| after.get(at - position - 1));
+        let silent = children.filter(|p| !p.is_live(now, timeout));
         silent.map(|p| p.ip).collect()
     }
 
     /// Peers that may be the roots of zones whose root hasn't been heard.
-    fn ask_roots(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
-        let bound = self.silent();
-        let is_root = |p: &&Peer| p.scope() == Some(Scope::Across) && p.is_live(now, bound);
+    fn probe_roots(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
+        let timeout = self.peer_timeout();
+        let is_root = |p: &&Peer| p.scope() == Some(Scope::Across) && p.is_live(now, timeout);
         let mut known: Vec<u32> = self.all.iter().filter(is_root).map(|p| p.zone).collect();
         known.push(own.zone);
-        let mut asked: Vec<u32> = Vec::new();
+        let mut probed: Vec<u32> = Vec::new();
         let mut out = Vec::new();
         for peer in &mut self.all {
-            let count = asked.iter().filter(|zone| **zone == peer.zone).count();
-            if known.contains(&peer.zone) || count >= ROOTS_ASKED || !peer.is_usable(now) {
+            let count = probed.iter().filter(|zone| **zone == peer.zone).count();
+            if known.contains(&peer.zone) || count >= MAX_ROOT_PROBES || !peer.may_be_probed(now) {
                 continue;
             }
-            asked.push(peer.zone);
-            peer.ask(now, bound);
+            probed.push(peer.zone);
+            peer.record_probe(now, timeout);
             out.push(peer.ip);
         }
         out
     }
 
-    fn compose(&self, own: &Beat, to: IpAddr, scope: Scope, now: Instant) -> Beat {
+    fn compose(&self, own: &PeerStatus, to: IpAddr, scope: Scope, now: Instant) -> PeerStatus {
         if !scope.has_load() {
-            return Beat {
+            return PeerStatus {
                 scope,
                 processes: 0,
                 loads: Vec::new(),
@@ -186,20 +193,20 @@
                 ..own.clone()
             };
         }
-        let bound = self.silent();
-        let is_part = |p: &&Peer| match p.scope() {
+        let timeout = self.peer_timeout();
+        let is_included = |p: &&Peer| match p.scope() {
             Some(Scope::Up) => scope != Scope::Direct,
             Some(Scope::Down | Scope::Across) => scope == Scope::Down,
-            Some(Scope::Direct | Scope::Hello | Scope::Here) | None => false,
+            Some(Scope::Direct | Scope::Hello | Scope::HelloReply) | None => false,
         };
-        let live = self.all.iter().filter(|p| p.is_live(now, bound));
-        let parts = live.filter(|p| p.ip != to).filter(is_part);
-        let parts: Vec<&Beat> = parts.filter_map(|p| p.beat.as_ref()).collect();
-        let others = parts.iter().flat_map(|b| &b.loads);
-        Beat {
+        let live = self.all.iter().filter(|p| p.is_live(now, timeout));
+        let parts = live.filter(|p| p.ip != to).filter(is_included);
+        let parts: Vec<&PeerStatus> = parts.filter_map(|p| p.status.as_ref()).collect();
+        let others = parts.iter().flat_map(|s| &s.loads);
+        PeerStatus {
             scope,
-            processes: own.processes + parts.iter().map(|b| b.processes).sum::<u32>(),
-            loads: sum(own.loads.iter().chain(others)),
+            processes: own.processes + parts.iter().map(|s| s.processes).sum::<u32>(),
+            loads: sum_by_upstream(own.loads.iter().chain(others)),
             ..own.clone()
         }
     }
@@ -245,7 +252,7 @@
 
     /// The place of a process in its zone, whoever of it is alive.
     pub fn place_in_zone(&self, own: Location) -> u32 {
-        self.zone_before(own).len() as u32
+        self.parent_candidates(own).len() as u32
     }
 
     /// The place of a process among those that may act for all, 0 for the first. One
@@ -253,32 +260,32 @@
     /// that few act at once when those before them don't.
     pub fn rank(&self, own: Location, now: Instant) -> u32 {
         if !self.is_direct() && !self.is_root {
-            let places = (self.all.len() / SHARE_A_PLACE).max(1) as u64;
+            let places = (self.all.len() / PROCESSES_PER_RANK).max(1) as u64;
             let text = own.ip.to_string();
             let place = xxhash_rust::xxh3::xxh3_64(text.as_bytes()) % places;
             return 2 + place as u32;
         }
         let before = self.live(now).filter(|(peer, _)| peer.ip < own.ip);
-        let first = before.filter(|(_, b)| matches!(b.scope, Scope::Direct | Scope::Across));
+        let first = before.filter(|(_, s)| matches!(s.scope, Scope::Direct | Scope::Across));
         first.count() as u32
     }
 }
 
 impl Peer {
-    fn is_usable(&self, now: Instant) -> bool {
-        self.avoided_until.is_none_or(|until| now >= until)
+    fn may_be_probed(&self, now: Instant) -> bool {
+        self.backoff_until.is_none_or(|until| now >= until)
     }
 
-    /// Notes that it is asked whether it is its zone's root. If it doesn't answer
-    /// within a bound it is left alone for a while.
-    fn ask(&mut self, now: Instant, bound: Duration) {
-        let since = *self.asked_at.get_or_insert(now);
-        if now.saturating_duration_since(since) < bound {
+    /// Notes that it is probed whether it is its zone's root. If it doesn't answer
+    /// within a timeout it is left alone for a while.
+    fn record_probe(&mut self, now: Instant, timeout: Duration) {
+        let since = *self.root_probe_since.get_or_insert(now);
+        if now.saturating_duration_since(since) < timeout {
             return;
         }
-        let (least, most) = AVOIDED;
-        self.avoided_for = (self.avoided_for * 2).clamp(least, most);
-        self.avoided_until = Some(now + self.avoided_for);
-        self.asked_at = None;
+        let (min, max) = ROOT_PROBE_BACKOFF;
+        self.backoff = (self.backoff * 2).clamp(min, max);
+        self.backoff_until = Some(now + self.backoff);
+        self.root_probe_since = None;
     }
 }
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -1,7 +1,7 @@
 //! Who the peers are: a row in the store for each process.
 
 use crate::follow::{Client, Dependency, held_for, wait_until_reader};
-use crate::peers::{first_look, zone_hash};
+use crate::peers::{startup_load, zone_hash};
 use crate::state::Gateway;
 use observe::{Event, emit};
 use platform::{Feed, Process, StoreError};
@@ -11,17 +11,17 @@
 /// How long the store may hold a read. Members change a few times a day, and a
 /// newcomer makes itself known by its datagrams, so this is as long as the store
 /// allows.
-const WAIT: Duration = Duration::from_secs(30);
+const HOLD_TIME: Duration = Duration::from_secs(30);
 /// Pause after a read that told of changes. When all processes start together,
 /// each row that is written would else wake each of them.
-const PAUSE: Duration = Duration::from_secs(3);
+const PAUSE_AFTER_CHANGE: Duration = Duration::from_secs(3);
 /// Pause for each known peer, as more of them start and stop in a larger fleet.
 const PAUSE_PER_PEER: Duration = Duration::from_millis(30);
 /// Time over which processes spread the writes of their rows at the first start of the
 /// system: the store accepts 200 writes of a table per second.
-const FIRST_START_WRITES: Duration = Duration::from_millis(3200);
+const FIRST_START_WRITE_SPREAD: Duration = Duration::from_millis(3200);
 /// Time over which they then spread their first reads.
-const FIRST_START_READS: Duration = Duration::from_millis(800);
+const FIRST_START_READ_SPREAD: Duration = Duration::from_millis(800);
 /// Longest wait for an answer besides.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -33,9 +33,10 @@
     let mut is_written = false;
     if gateway.host().is_first_start {
         // All rows are written before the first read, so that one read finds all of them.
-        let read_at =
-            Instant::now() + FIRST_START_WRITES + FIRST_START_READS.mul_f64(fastrand::f64());
-        tokio::time::sleep(FIRST_START_WRITES.mul_f64(fastrand::f64())).await;
+        let read_at = Instant::now()
+            + FIRST_START_WRITE_SPREAD
+            + FIRST_START_READ_SPREAD.mul_f64(fastrand::f64());
+        tokio::time::sleep(FIRST_START_WRITE_SPREAD.mul_f64(fastrand::f64())).await;
         is_written = write_row(&gateway, &mut client, &mut dependency).await;
         tokio::time::sleep_until(read_at.into()).await;
     }
@@ -50,7 +51,7 @@
             }
         }
         wait_until_reader(&gateway, !is_read).await;
-        let wait = held_for(&from, WAIT);
+        let wait = held_for(&from, HOLD_TIME);
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().processes(&from, wait, timeout).await {
             Ok(change) => {
@@ -68,7 +69,7 @@
                 let has_more_pages = is_first && matches!(from, Feed::Rest { .. });
                 if has_more_pages
                     && gateway.config_version() == 0
-                    && first_look::load_snapshot(&gateway).await
+                    && startup_load::load_snapshot(&gateway).await
                 {
                     from = Feed::Since(gateway.members_version());
                 }
@@ -80,7 +81,7 @@
                 }
                 if let Feed::Since(version) = from {
                     gateway.set_members_version(version);
-                    gateway.peers().set_listed();
+                    gateway.peers().set_membership_known();
                 }
                 if has_changes && is_read {
                     let peers = gateway.peers().len();
@@ -123,7 +124,7 @@
 
 /// Pause after a read that told of changes, by the number of known peers.
 fn pause_for(peers: usize) -> Duration {
-    PAUSE.max(PAUSE_PER_PEER * peers as u32)
+    PAUSE_AFTER_CHANGE.max(PAUSE_PER_PEER * peers as u32)
 }
 
 /// The row of this process.
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -18,7 +18,7 @@
     /// For nobody: whether the peer is there, which it answers.
     Hello,
     /// For nobody: the sender is there.
-    Here,
+    HelloReply,
 }
 
 impl From<Scope> for u8 {
@@ -29,7 +29,7 @@
             Scope::Down => 2,
             Scope::Across => 3,
             Scope::Hello => 4,
-            Scope::Here => 5,
+            Scope::HelloReply => 5,
         }
     }
 }
@@ -44,7 +44,7 @@
             2 => Ok(Self::Down),
             3 => Ok(Self::Across),
             4 => Ok(Self::Hello),
-            5 => Ok(Self::Here),
+            5 => Ok(Self::HelloReply),
             other => Err(format!("no scope has the code {other}")),
         }
     }
@@ -52,7 +52,7 @@
 
 /// What a process tells a peer. It says everything anew, so a lost one does no harm.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct PeerStatus {
     /// Drawn at each start of a process, so that a new one's count is not taken
     /// for an old one's.
     pub start: u32,
@@ -85,16 +85,16 @@
     /// by upstream.
     pub loads: Vec<Load>,
     /// Engines that were ordered to change their stage and are away.
-    pub changing: Vec<Changing>,
+    pub changing: Vec<StageChange>,
     /// Prompt parts that an engine was lately sent for the first time.
     pub placements: Vec<Placement>,
     /// What was lately learned of work under which upstreams end.
-    pub crashes: Vec<CrashWord>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// What a process has learned of work under which upstreams end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashWord {
+pub struct CrashReport {
     /// Hash of the work, its upper and lower half.
     pub work: [u64; 2],
     /// Tag of the upstream that ended under it; none if it had a whole answer.
@@ -108,7 +108,7 @@
 
 /// An engine that is away for a change of its stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changing {
+pub struct StageChange {
     /// Tag of the engine.
     pub upstream: u32,
     /// For how much longer it is away, in milliseconds.
@@ -144,7 +144,7 @@
 impl Scope {
     /// Whether it speaks for any process.
     pub fn has_load(self) -> bool {
-        !matches!(self, Self::Hello | Self::Here)
+        !matches!(self, Self::Hello | Self::HelloReply)
     }
 }
 
@@ -158,7 +158,7 @@
 }
 
 /// Adds up loads by upstream.
-pub fn sum<'a>(loads: impl Iterator<Item = &'a Load>) -> Vec<Load> {
+pub fn sum_by_upstream<'a>(loads: impl Iterator<Item = &'a Load>) -> Vec<Load> {
     let mut all: Vec<Load> = loads.copied().collect();
     all.sort_unstable_by_key(|load| load.upstream);
     all.dedup_by(|next, sum| {
--- a/crates/gateway/src/peers/first_look.rs
+++ b/crates/gateway/src/peers/startup_load.rs
@@ -6,7 +6,7 @@
 //! snapshots.
 
 use super::catch_up::{self, RegistryChanges};
-use super::{CrashWord, Member};
+use super::{CrashReport, Member};
 use crate::state::Gateway;
 use crate::{crashes, follow};
 use platform::Config;
@@ -99,7 +99,7 @@
     /// The registry.
     pub registry: RegistryChanges,
     /// Upstream ends that are recorded in the store.
-    pub crashes: Vec<CrashWord>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// This process's snapshot for a starting peer; `None` while it is incomplete.
@@ -120,7 +120,7 @@
         members,
         config: gateway.routes()?.config.clone(),
         registry: gateway.changes_since(0)?,
-        crashes: crashes::recorded(gateway, Instant::now()),
+        crashes: crashes::recorded_ends(gateway, Instant::now()),
     })
 }
 
@@ -134,8 +134,8 @@
     };
     let until = Instant::now() + max_time.mul_f64(fastrand::f64());
     let has_loaded = loop {
-        let known = gateway.peers().addresses();
-        if let Some(ip) = fastrand::choice(known)
+        let peers = gateway.peers().addresses();
+        if let Some(ip) = fastrand::choice(peers)
             && load_from(gateway, ip).await
         {
             break true;
@@ -165,7 +165,7 @@
     }
     gateway.set_members_version(snapshot.members_version);
     follow::put_in_force(gateway, snapshot.config, "peer");
-    catch_up::take_changes(gateway, snapshot.registry, asked_at);
-    crashes::take_recorded(gateway, &snapshot.crashes, Instant::now());
+    catch_up::apply_changes(gateway, snapshot.registry, asked_at);
+    crashes::apply_recorded(gateway, &snapshot.crashes, Instant::now());
     true
 }
--- a/crates/gateway/src/peers/tree.rs
+++ b/crates/gateway/src/peers/tree.rs
@@ -10,19 +10,19 @@
 const FANOUT: usize = 4;
 
 /// Positions on the way from one to the root, the nearest first.
-pub fn above(position: usize) -> impl Iterator<Item = usize> {
+pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
     let next = |at: &usize| Some(at.checked_sub(1)? / FANOUT);
     std::iter::successors(next(&position), next)
 }
 
 /// Positions of those that usually report to one.
-pub fn below(position: usize) -> std::ops::RangeInclusive<usize> {
+pub fn children(position: usize) -> std::ops::RangeInclusive<usize> {
     position * FANOUT + 1..=position * FANOUT + FANOUT
 }
 
 /// The process that one at a position reports to, of those that are alive: the
 /// nearest on the way to the root, or else the first of all. None for a root.
 pub fn parent(position: usize, is_live: impl Fn(usize) -> bool) -> Option<usize> {
-    let usual = above(position).find(|at| is_live(*at));
-    usual.or_else(|| (0..position).find(|at| is_live(*at)))
+    let preferred = ancestors(position).find(|at| is_live(*at));
+    preferred.or_else(|| (0..position).find(|at| is_live(*at)))
 }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -25,7 +25,7 @@
 use tokio::sync::oneshot;
 
 /// Timeout for a grantor's answer; a round trip between zones takes about 5 ms.
-const ANSWER_WITHIN: Duration = Duration::from_millis(50);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
 /// Time for which a grantor that didn't answer isn't asked.
 const SILENT_BACKOFF: Duration = Duration::from_millis(500);
 
@@ -190,8 +190,8 @@
 ) -> Result<Grant, AcquireError> {
     let quotas = &gateway.quotas;
     let now = Instant::now();
-    let remembered = lock(&quotas.refusals).get(tenant, cost, now);
-    if let Some(refusal) = remembered {
+    let cached = lock(&quotas.refusals).get(tenant, cost, now);
+    if let Some(refusal) = cached {
         return Err(AcquireError::OverQuota(refusal));
     }
     let own = gateway.host().ip;
@@ -291,7 +291,7 @@
         number,
     };
     quotas.send(ip, port, &Message::Spend(spend));
-    let answer = tokio::time::timeout(ANSWER_WITHIN, rx).await;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, rx).await;
     quotas.unregister(number);
     let answer = answer.ok().and_then(Result::ok);
     if answer.is_some() {
--- a/crates/gateway/src/quota/exchange.rs
+++ b/crates/gateway/src/quota/exchange.rs
@@ -19,9 +19,9 @@
 const MIN_PREFERRED_CPU_SHARE: f64 = 0.25;
 const MAX_PREFERRED_PLACE: u32 = 4;
 /// Largest datagram.
-const MAX_DATAGRAM: usize = 4 << 10;
+const MAX_DATAGRAM_BYTES: usize = 4 << 10;
 /// Interval between checks whether the list of peers has been read from the store.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const MEMBERSHIP_CHECK_EVERY: Duration = Duration::from_millis(20);
 /// Time without an answer after which a grantor of another zone is searched again.
 const GRANTOR_TTL: Duration = Duration::from_secs(2);
 /// Number of times the release of shares is sent, as datagrams may be lost.
@@ -41,14 +41,14 @@
 pub fn start(gateway: &Arc<Gateway>) -> Result<(), StartError> {
     let host = gateway.host();
     let addr = SocketAddr::new(host.ip, host.quota_port);
-    let bad = |e| StartError::Bind(addr, e);
-    let socket = std::net::UdpSocket::bind(addr).map_err(bad)?;
-    socket.set_nonblocking(true).map_err(bad)?;
-    let socket = Arc::new(UdpSocket::from_std(socket).map_err(bad)?);
+    let bind_error = |e| StartError::Bind(addr, e);
+    let socket = std::net::UdpSocket::bind(addr).map_err(bind_error)?;
+    socket.set_nonblocking(true).map_err(bind_error)?;
+    let socket = Arc::new(UdpSocket::from_std(socket).map_err(bind_error)?);
     // Set only here, so it never fails.
     let _ = gateway.quotas.socket.set(socket.clone());
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
-    tokio::spawn(hear(gateway.clone(), socket, tx));
+    tokio::spawn(receive(gateway.clone(), socket, tx));
     tokio::spawn(collect(gateway.clone(), rx));
     Ok(())
 }
@@ -58,7 +58,7 @@
 }
 
 /// Whether any tenant has a quota.
-fn is_wanted(gateway: &Gateway) -> bool {
+fn has_quotas_configured(gateway: &Gateway) -> bool {
     let routes = gateway.routes();
     let tenants = routes.as_ref().and_then(|table| table.tenants());
     tenants.is_some_and(|tenants| tenants.has_quotas())
@@ -67,12 +67,12 @@
 /// A peer, and the grantor of its zone according to it.
 type GrantorReply = (IpAddr, Option<IpAddr>);
 
-async fn hear(
+async fn receive(
     gateway: Arc<Gateway>,
     socket: Arc<UdpSocket>,
     grantor_replies: tokio::sync::mpsc::UnboundedSender<GrantorReply>,
 ) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         // An error here means that an earlier datagram met a closed port.
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
@@ -202,19 +202,19 @@
 ) {
     let mut zone_grantors: Vec<ZoneGrantor> = Vec::new();
     loop {
-        let pause = match gateway.peers().is_listed() {
+        let pause = match gateway.peers().is_membership_known() {
             true => collect_pause(gateway.quotas.zone().hosts),
-            false => LOOK_EVERY,
+            false => MEMBERSHIP_CHECK_EVERY,
         };
         tokio::time::sleep(pause).await;
         while let Ok((from, ip)) = grantor_replies.try_recv() {
             let zone = gateway.peers().zone_of(from);
             record_grantor(&mut zone_grantors, zone, ip, Instant::now());
         }
-        if !is_wanted(&gateway) || gateway.stop.is_stopped() {
+        if !has_quotas_configured(&gateway) || gateway.stop.is_stopped() {
             continue;
         }
-        if !look(&gateway) {
+        if !update_zone(&gateway) {
             continue;
         }
         begin_round(&gateway, &mut zone_grantors);
@@ -222,13 +222,15 @@
 }
 
 /// Updates the state of the zone, and returns whether this host is its grantor.
-fn look(gateway: &Gateway) -> bool {
+fn update_zone(gateway: &Gateway) -> bool {
     let quotas = &gateway.quotas;
     let now = Instant::now();
     let (hosts, mut zone) = {
         let peers = gateway.peers();
         let own = gateway.location();
-        let hosts = peers.is_listed().then(|| peers.processes(now) + 1);
+        let hosts = peers
+            .is_membership_known()
+            .then(|| peers.process_count(now) + 1);
         (hosts, peers.own_zone(own))
     };
     zone.place = match gateway.host().cpu_share >= MIN_PREFERRED_CPU_SHARE {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -32,7 +32,7 @@
     let body = match started.rest {
         None => {
             if is_framed {
-                crashes::answered(&call);
+                crashes::mark_answered(&call);
             }
             call.note_duration(&account, Duration::ZERO);
             account.close(Outcome::Answered, None);
@@ -109,7 +109,7 @@
             match end {
                 End::Whole => {
                     if self.is_framed {
-                        crashes::answered(&self.call);
+                        crashes::mark_answered(&self.call);
                     }
                     self.call.note_duration(&self.account, self.waited);
                     self.tx.finish().await;
@@ -122,7 +122,7 @@
                     return;
                 }
                 End::TimeOver(why) => {
-                    unanswered::timed_out(&self.call, &mut self.account);
+                    unanswered::watch_timed_out(&self.call, &mut self.account);
                     self.account.close(Outcome::BrokenOff, Some(why));
                     return;
                 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -84,7 +84,7 @@
         Ok(mut call) => match call.run(&mut account).await {
             Ok(started) => relay::pass_on(call, account, started),
             Err(refusal) => {
-                crashes::end_trial(&call, &account);
+                crashes::return_unused_trial(&call, &account);
                 refusal::refuse(account, refusal)
             }
         },
@@ -206,7 +206,7 @@
             biased;
             done = self.run_untimed(account) => done,
             why = over => {
-                unanswered::timed_out(self, account);
+                unanswered::watch_timed_out(self, account);
                 Err(why.into())
             }
         };
@@ -222,7 +222,7 @@
         let mut is_paid = false;
         loop {
             let admission = match crashes::admit(self, account).await {
-                Admission::Held(why) => return Err(why.into()),
+                Admission::Rejected(why) => return Err(why.into()),
                 admission => admission,
             };
             let is_again = account.attempts > 0 && !std::mem::take(&mut is_paid);
@@ -230,7 +230,7 @@
                 return Err(last);
             }
             let need = Need {
-                is_alone: admission == Admission::Alone,
+                is_alone: admission == Admission::Quarantined,
                 ..self.need(account)
             };
             let plan = match choose(&self.gateway, &need) {
@@ -310,7 +310,7 @@
             }
         }
         *is_paid = true;
-        unanswered::timed_out(self, account);
+        unanswered::watch_timed_out(self, account);
         account.attempts += 1;
         attempt::failed(&self.gateway, plan, attempt::LOST_WEIGHT);
         let why = "no first byte in time";
@@ -334,11 +334,11 @@
         // The one that broke off has most likely crashed.
         self.tried.extend(account.tried.map(|sent| sent.key));
         let admission = crashes::admit(self, account).await;
-        if matches!(admission, Admission::Held(_)) || !self.may_retry(account) {
+        if matches!(admission, Admission::Rejected(_)) || !self.may_retry(account) {
             return None;
         }
         let need = Need {
-            is_alone: admission == Admission::Alone,
+            is_alone: admission == Admission::Quarantined,
             ..self.need(account)
         };
         let Choice::Send(plan) = choose(&self.gateway, &need) else {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -4,14 +4,14 @@
 
 pub use guards::{LoadGuard, RunningGuard};
 
-use crate::crashes::Shared;
+use crate::crashes::SharedCrashes;
 use crate::duty::usage::Usage;
 use crate::fleet::{Fleet, ServiceKey, UpstreamKey};
 use crate::follow;
 use crate::history::History;
 use crate::missing::Missing;
 use crate::peers::catch_up::RegistryChanges;
-use crate::peers::first_look::StartupLoad;
+use crate::peers::startup_load::StartupLoad;
 use crate::peers::{Location, Peers, zone_hash};
 use crate::quota::Quotas;
 use crate::routes::RouteTable;
@@ -55,7 +55,7 @@
     pub registry_fallback: Notify,
     running: AtomicU64,
     /// Work under which upstreams end.
-    pub crashes: Shared,
+    pub crashes: SharedCrashes,
     /// Requests of tenants that began to run.
     pub usage: Usage,
     /// Quotas of tenants.
@@ -118,7 +118,7 @@
             startup_load: StartupLoad::default(),
             registry_fallback: Notify::new(),
             running: AtomicU64::new(0),
-            crashes: Shared::default(),
+            crashes: SharedCrashes::default(),
             usage: Usage::default(),
             behind: Notify::new(),
             heads: HeadLimits::new(FIRST_IDLE_TIMEOUT, FIRST_MAX_HEAD),
@@ -298,7 +298,7 @@
     pub fn place_to_read(&self) -> Option<u32> {
         let peers = self.peers();
         peers
-            .is_listed()
+            .is_membership_known()
             .then(|| peers.place_in_zone(self.location()))
     }
 
@@ -329,7 +329,7 @@
     pub fn is_feed_reader(&self) -> bool {
         let own = self.host().ip;
         let peers = self.peers();
-        peers.is_feed_reader(own) || peers.is_alone(Instant::now())
+        peers.is_feed_reader(own) || peers.is_isolated(Instant::now())
     }
 
     /// Takes a new number of peers that share the retry budget.
--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -7,15 +7,15 @@
 use fixtures::{gateway_with, instance, runner};
 use gateway::duty::lease::turn;
 use gateway::fleet::durations::{Durations, Length, Told};
-use gateway::peers::catch_up::{RegistryChanges, take_changes};
-use gateway::peers::{Beat, Changing, CrashWord, Load, Peers, Placement, Scope};
+use gateway::peers::catch_up::{RegistryChanges, apply_changes};
+use gateway::peers::{CrashReport, Load, PeerStatus, Peers, Placement, Scope, StageChange};
 use platform::{Duty, Lease, LeaseRead, Stage, Start};
 use proptest::prelude::*;
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
 
-fn beat(upstream: u32) -> Beat {
-    Beat {
+fn beat(upstream: u32) -> PeerStatus {
+    PeerStatus {
         start: 1,
         number: 1,
         scope: Scope::Direct,
@@ -34,7 +34,7 @@
             running: 1,
             streams: 0,
         }],
-        changing: vec![Changing {
+        changing: vec![StageChange {
             upstream,
             left_ms: 500,
         }],
@@ -43,7 +43,7 @@
             part: 9,
             tokens: 300,
         }],
-        crashes: vec![CrashWord {
+        crashes: vec![CrashReport {
             work: [u64::MAX, 5],
             upstream: Some(upstream),
             in_trial: true,
@@ -89,26 +89,26 @@
     let gateway = gateway_with(&[Stage::Decode]);
     let tag = gateway.fleet().iter().next().unwrap().1.tag();
     let good = wire::encode_compact(&beat(tag));
-    assert!(wire::decode::<Beat>(&good).is_some());
+    assert!(wire::decode::<PeerStatus>(&good).is_some());
     let datagrams = proptest::collection::vec(bytes(good), 1..30);
     runner()
         .run(&datagrams, |datagrams| {
             let mut peers = Peers::default();
             let now = Instant::now();
             for (n, bytes) in datagrams.iter().enumerate() {
-                let Some(beat) = wire::decode::<Beat>(bytes) else {
+                let Some(beat) = wire::decode::<PeerStatus>(bytes) else {
                     continue;
                 };
                 let told = beat.loads.len() + beat.changing.len() + beat.placements.len();
                 prop_assert!(told <= bytes.len());
                 let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, n as u8));
                 let mut fleet = gateway.fleet();
-                peers.hear(ip, beat, &mut fleet, now);
+                peers.receive(ip, beat, &mut fleet, now);
                 peers.choose_parent(gateway.location(), &mut fleet, now);
                 drop(fleet);
-                peers.processes(now);
+                peers.process_count(now);
                 let own = self::beat(tag);
-                peers.tell(gateway.location(), &own, now);
+                peers.outgoing(gateway.location(), &own, now);
             }
             let mut fleet = gateway.fleet();
             for (_, upstream) in fleet.iter() {
@@ -137,10 +137,10 @@
         (load.waiting, load.tokens) = (u16::MAX, u32::MAX);
         (load.running, load.streams) = (u16::MAX, u16::MAX);
         let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, n));
-        peers.hear(ip, beat, &mut gateway.fleet(), now);
+        peers.receive(ip, beat, &mut gateway.fleet(), now);
     }
-    gateway.set_live_peers(peers.processes(now));
-    peers.tell(gateway.location(), &beat(tag), now);
+    gateway.set_live_peers(peers.process_count(now));
+    peers.outgoing(gateway.location(), &beat(tag), now);
     let fleet = gateway.fleet();
     let (_, upstream) = fleet.iter().next().unwrap();
     assert_eq!(upstream.reading_tokens(), u32::MAX);
@@ -157,7 +157,7 @@
                 return Ok(());
             };
             prop_assert!(changes.present.len() + changes.gone.len() <= bytes.len());
-            take_changes(&gateway_with(&[Stage::Decode]), changes, Instant::now());
+            apply_changes(&gateway_with(&[Stage::Decode]), changes, Instant::now());
             Ok(())
         })
         .unwrap();
@@ -171,7 +171,7 @@
     let loads = beat.len() - wire::encode_compact(&beat_lists()).len() + 1;
     beat.truncate(loads);
     beat.extend(huge);
-    assert!(wire::decode::<Beat>(&beat).is_none());
+    assert!(wire::decode::<PeerStatus>(&beat).is_none());
     let mut changes = wire::encode_compact(&RegistryChanges {
         present: Vec::new(),
         gone: Vec::new(),
@@ -183,8 +183,13 @@
 }
 
 /// The lists at the end of a beat, as one message.
-fn beat_lists() -> (Vec<Load>, Vec<Changing>, Vec<Placement>, Vec<CrashWord>) {
-    let Beat {
+fn beat_lists() -> (
+    Vec<Load>,
+    Vec<StageChange>,
+    Vec<Placement>,
+    Vec<CrashReport>,
+) {
+    let PeerStatus {
         loads,
         changing,
         placements,
--- a/crates/gateway/tests/feeds.rs
+++ b/crates/gateway/tests/feeds.rs
@@ -86,10 +86,10 @@
     let mut peers = peers(0, 630);
     let now = Instant::now();
     peers.expire(&mut Fleet::default(), now);
-    assert!(!peers.is_alone(now));
+    assert!(!peers.is_isolated(now));
     let later = now + Duration::from_secs(1);
     peers.expire(&mut Fleet::default(), later);
-    assert!(peers.is_alone(later));
+    assert!(peers.is_isolated(later));
 }
 
 #[test]
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -6,9 +6,9 @@
 use fixtures::{gateway_with, instance, runner};
 use gateway::fleet::Fleet;
 use gateway::follow::{merge, merge_peers, retry_pause};
-use gateway::peers::catch_up::take_changes;
-use gateway::peers::exchange::Unreadable;
-use gateway::peers::{Beat, Load, Peers, Scope};
+use gateway::peers::catch_up::apply_changes;
+use gateway::peers::exchange::UnreadableSenders;
+use gateway::peers::{Load, PeerStatus, Peers, Scope};
 use gateway::state::{Gateway, Registry};
 use net::Meter;
 use platform::{Instance, Registration, Stage};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn beat(start: u32, number: u64, loads: &[(u32, u32)]) -> Beat {
+fn beat(start: u32, number: u64, loads: &[(u32, u32)]) -> PeerStatus {
     let loads: Vec<Load> = loads
         .iter()
         .map(|(upstream, tokens)| Load {
@@ -28,7 +28,7 @@
             streams: 0,
         })
         .collect();
-    Beat {
+    PeerStatus {
         start,
         number,
         scope: Scope::Direct,
@@ -55,13 +55,13 @@
     let ip = |n: u16| IpAddr::V4(Ipv4Addr::new(10, 1, (n >> 8) as u8, n as u8));
     // As many processes as tell each other directly, each heard once in a round.
     const PEERS: u16 = 16;
-    let round_time = gateway::peers::exchange::direct_pause(PEERS.into()) * 3;
+    let round_time = gateway::peers::exchange::direct_send_interval(PEERS.into()) * 3;
     let pause = round_time / u32::from(PEERS);
     for round in 0..3u64 {
         for n in 0..PEERS {
             let nth = u32::try_from(round).unwrap() * u32::from(PEERS) + u32::from(n);
             let now = start + pause * nth;
-            peers.hear(ip(n), beat(1, round, &[]), &mut fleet, now);
+            peers.receive(ip(n), beat(1, round, &[]), &mut fleet, now);
             peers.expire(&mut fleet, now);
             let expected = if round == 0 { n + 1 } else { PEERS };
             assert_eq!(peers.live(now).count(), usize::from(expected));
@@ -100,7 +100,7 @@
                 let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, peer));
                 let number = n as u64 + number;
                 let loads: Vec<_> = loads.iter().map(|(at, t)| (tags[*at], *t)).collect();
-                let is_new = peers.hear(ip, beat(1, number, &loads), &mut fleet, now);
+                let is_new = peers.receive(ip, beat(1, number, &loads), &mut fleet, now);
                 let known = &mut last[usize::from(peer)];
                 if known.as_ref().is_none_or(|(k, ..)| *k < number) {
                     prop_assert!(is_new);
@@ -109,7 +109,7 @@
                 peers.expire(&mut fleet, now);
                 for known in &mut last {
                     let is_silent = known.as_ref().is_some_and(|(_, at, _)| {
-                        now.saturating_duration_since(*at) >= gateway::peers::SILENT
+                        now.saturating_duration_since(*at) >= gateway::peers::PEER_TIMEOUT
                     });
                     if is_silent {
                         *known = None;
@@ -310,7 +310,7 @@
 fn take_from(peer: &Gateway, own: &Arc<Gateway>) -> bool {
     let since = own.registry().version;
     let changes = peer.changes_since(since).expect("the peer knows them");
-    take_changes(own, changes, Instant::now())
+    apply_changes(own, changes, Instant::now())
 }
 
 #[test]
@@ -428,16 +428,18 @@
 
 #[test]
 fn a_peer_of_another_version_is_logged_once() {
-    let mut unreadable = Unreadable::default();
+    let mut unreadable = UnreadableSenders::default();
     let ip = |n: u32| IpAddr::V4(Ipv4Addr::from(n));
-    assert!(unreadable.is_new(ip(1)));
-    assert!(!unreadable.is_new(ip(1)));
-    assert!(unreadable.is_new(ip(2)));
+    assert!(unreadable.record_failure(ip(1)));
+    assert!(!unreadable.record_failure(ip(1)));
+    assert!(unreadable.record_failure(ip(2)));
     // It was started anew with this version, and later with the former one.
-    unreadable.is_read(ip(1));
-    assert!(unreadable.is_new(ip(1)));
-    assert!(!unreadable.is_new(ip(2)));
+    unreadable.record_success(ip(1));
+    assert!(unreadable.record_failure(ip(1)));
+    assert!(!unreadable.record_failure(ip(2)));
     // Whoever sends from many addresses fills neither memory nor log.
-    let told = (10..10_000).filter(|n| unreadable.is_new(ip(*n))).count();
+    let told = (10..10_000)
+        .filter(|n| unreadable.record_failure(ip(*n)))
+        .count();
     assert!(told < 1024);
 }
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -9,8 +9,8 @@
 use gateway::fleet::{Fleet, Merged};
 use gateway::follow::unreadable::{Telling, Told};
 use gateway::follow::{merge, merge_peers};
-use gateway::peers::catch_up::{RegistryChanges, take_changes};
-use gateway::peers::{Beat, Load, Peers, Scope};
+use gateway::peers::catch_up::{RegistryChanges, apply_changes};
+use gateway::peers::{Load, PeerStatus, Peers, Scope};
 use gateway::state::Gateway;
 use net::Meter;
 use platform::{Instance, PromptPart, Registration, Stage, Start, Unreadable, UnreadableRow};
@@ -222,7 +222,7 @@
     let tag = |fleet: &Fleet| fleet.get(fleet.find("i-1").unwrap()).unwrap().tag();
     let homes = |fleet: &Fleet| fleet.get(fleet.find("i-1").unwrap()).unwrap().hash;
     let (earlier, home, view) = (tag(&fleet), homes(&fleet), fleet.view());
-    let beat = |number, upstream| Beat {
+    let beat = |number, upstream| PeerStatus {
         start: 1,
         number,
         scope: Scope::Direct,
@@ -247,15 +247,15 @@
     };
     let (mut peers, now) = (Peers::default(), Instant::now());
     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1));
-    peers.hear(ip, beat(1, earlier), &mut fleet, now);
+    peers.receive(ip, beat(1, earlier), &mut fleet, now);
     let tokens = |fleet: &Fleet| fleet.get(fleet.find("i-1").unwrap()).unwrap().others.tokens;
     assert_eq!(tokens(&fleet), 800);
     fleet.merge(row(Some(2), 2), &Meter::default());
     assert_eq!(tokens(&fleet), 0);
-    peers.hear(ip, beat(2, earlier), &mut fleet, now);
+    peers.receive(ip, beat(2, earlier), &mut fleet, now);
     assert_eq!(tokens(&fleet), 0);
     let later = tag(&fleet);
-    peers.hear(ip, beat(3, later), &mut fleet, now);
+    peers.receive(ip, beat(3, later), &mut fleet, now);
     assert_eq!(tokens(&fleet), 800);
     // Homes stay, what processes compare differs.
     assert_eq!(homes(&fleet), home);
@@ -286,7 +286,10 @@
     merge(&a, again, false, 4, Instant::now());
     let told: RegistryChanges = a.changes_since(3).unwrap();
     assert_eq!((told.is_whole, told.present.len()), (false, 1));
-    assert!(take_changes(&b, told, Instant::now()), "both know the same");
+    assert!(
+        apply_changes(&b, told, Instant::now()),
+        "both know the same"
+    );
     assert_eq!(known(&b.fleet()), Some((Some(2), false)));
     // Heartbeats change no more than the row's version, and aren't told.
     let beat = vec![Registration::Present(row(Some(2), 6))];
@@ -315,7 +318,7 @@
     assert_eq!(known(&a.fleet()), None);
     assert!(a.fleet().find("i-2").is_some());
     assert!(a.missing().is_empty());
-    assert!(take_changes(
+    assert!(apply_changes(
         &b,
         a.changes_since(1).unwrap(),
         Instant::now()
--- a/crates/gateway/tests/state.rs
+++ b/crates/gateway/tests/state.rs
@@ -237,7 +237,7 @@
 
 /// Sends each of two processes a datagram from the other's host.
 async fn introduce(a: &platform::Host, b: &platform::Host) {
-    let beat = gateway::peers::Beat {
+    let beat = gateway::peers::PeerStatus {
         start: 1,
         number: 1,
         scope: gateway::peers::Scope::Direct,
--- a/crates/gateway/tests/tree.rs
+++ b/crates/gateway/tests/tree.rs
@@ -10,7 +10,7 @@
 
 use fixtures::instance;
 use gateway::fleet::Fleet;
-use gateway::peers::{Beat, Load, Location, Peers, Scope};
+use gateway::peers::{Load, Location, PeerStatus, Peers, Scope};
 use net::Meter;
 use platform::{Instance, Stage};
 use std::net::{IpAddr, Ipv4Addr};
@@ -102,7 +102,7 @@
                 let sender = self.all[from].place.ip;
                 let to = self.all.iter_mut().find(|p| p.place.ip == to && p.is_alive);
                 if let Some(to) = to {
-                    to.peers.hear(sender, beat, &mut to.fleet, self.now);
+                    to.peers.receive(sender, beat, &mut to.fleet, self.now);
                 }
             }
         }
@@ -144,7 +144,7 @@
             let zone = u32::from(other % ZONES) + 1;
             peers.add(&format!("edge-{other}"), ip(other), zone);
         }
-        peers.set_listed();
+        peers.set_membership_known();
         Self {
             place: Location {
                 ip: ip(n),
@@ -159,13 +159,13 @@
         }
     }
 
-    fn tell(&mut self, number: u64, now: Instant) -> Vec<(IpAddr, Beat)> {
+    fn tell(&mut self, number: u64, now: Instant) -> Vec<(IpAddr, PeerStatus)> {
         if !self.is_alive {
             return Vec::new();
         }
         self.peers.expire(&mut self.fleet, now);
         self.peers.choose_parent(self.place, &mut self.fleet, now);
-        let own = Beat {
+        let own = PeerStatus {
             start: 1,
             number,
             scope: Scope::Direct,
@@ -182,7 +182,7 @@
             placements: Vec::new(),
             crashes: Vec::new(),
         };
-        let told = self.peers.tell(self.place, &own, now);
+        let told = self.peers.outgoing(self.place, &own, now);
         let bytes = told.iter().map(|(_, b)| wire::encode_compact(b).len());
         self.sent += bytes.sum::<usize>();
         self.datagrams += told.len();
@@ -208,7 +208,7 @@
     assert_eq!(first.iter().filter(|rank| **rank == 0).count(), 1);
     assert_eq!(first.iter().filter(|rank| **rank < 2).count(), 2);
     for process in &system.all {
-        assert_eq!(process.peers.processes(now), 299);
+        assert_eq!(process.peers.process_count(now), 299);
     }
 }
 
@@ -280,9 +280,9 @@
     let cut = &mut system.all[5];
     cut.peers.expire(&mut cut.fleet, now);
     assert_eq!(cut.peers.live(now).count(), 0);
-    assert_eq!(cut.peers.processes(now), 102);
+    assert_eq!(cut.peers.process_count(now), 102);
     // One that knows nothing of its peers yet takes less still.
-    assert!(Peers::default().processes(now) >= 1000);
+    assert!(Peers::default().process_count(now) >= 1000);
 }
 
 #[test]
