--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,10 +1,11 @@
-//! Requests under which upstreams crash: who saw what, who is told, what is sent.
+//! Detects requests that crash upstreams, and shares the reports between hosts.
 //!
-//! A connection that breaks under a request tells that its upstream may have ended
-//! ([`broken`]). What is counted and when work is held back is decided in
-//! [`resilience::crashes`]; here it is fed and asked: by this host's own requests
-//! ([`admit`]), by the words of peers, and by rows in the store ([`rows`]), which reach hosts
-//! that hear no peer and outlast all processes.
+//! A connection that breaks during a request shows that the upstream may have crashed ([`broken`]),
+//! as does a request without an answer whose upstream is gone ([`unanswered`]).
+//! [`resilience::crashes`] counts crashes per request fingerprint and decides when a request is
+//! held back. This module passes it the reports of this host, of peers and of rows in the store,
+//! and applies its decisions ([`admit`]). The rows ([`rows`]) reach hosts without a live peer and
+//! survive restarts of all processes.
 
 mod admit;
 pub mod broken;
@@ -25,17 +26,17 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// What this process knows of work under which upstreams end.
+/// Requests that may crash upstreams, as known to this process.
 #[derive(Debug, Default)]
 pub struct SharedCrashes {
     crashes: Mutex<Crashes>,
     clock: Mutex<Option<StoreClock>>,
-    /// Given when there may be rows to write or to remove.
+    /// Notified when there may be rows to write or remove.
     write_pending: Notify,
     watch_permits: unanswered::WatchPermits,
 }
 
-/// The store's steady clock, as it was at a read.
+/// Reading of the store's monotonic clock.
 #[derive(Debug, Clone, Copy)]
 struct StoreClock {
     now_ms: u64,
@@ -43,14 +44,14 @@
 }
 
 impl StoreClock {
-    /// What it shows when this host's clock shows a time.
+    /// Converts a time of this host to the store's clock.
     fn to_store_ms(self, at: Instant) -> u64 {
         let after = at.saturating_duration_since(self.read_at).as_millis() as u64;
         let before = self.read_at.saturating_duration_since(at).as_millis() as u64;
         self.now_ms.saturating_add(after).saturating_sub(before)
     }
 
-    /// What this host's clock showed at a time of it; none if that was before it started.
+    /// Converts a time of the store's clock; `None` if it is before the start of this host's clock.
     fn to_instant(self, at_ms: u64) -> Option<Instant> {
         let ago = Duration::from_millis(self.now_ms.saturating_sub(at_ms));
         self.read_at.checked_sub(ago)
@@ -58,7 +59,7 @@
 }
 
 impl SharedCrashes {
-    /// What is known. Never held across an await.
+    /// Locks the known crashes. Must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, Crashes> {
         self.crashes.lock().expect("no panic while locked")
     }
@@ -67,14 +68,14 @@
         *self.clock.lock().expect("no panic while locked")
     }
 
-    /// Records the current time of the store's clock.
+    /// Sets the current time of the store's clock.
     pub fn set_clock(&self, now_ms: u64) {
         let read_at = Instant::now();
         *self.clock.lock().expect("no panic while locked") = Some(StoreClock { now_ms, read_at });
     }
 }
 
-/// Takes a word, logs what it changes, and has it written where the store is to keep it.
+/// Applies a report, logs the resulting change, and wakes the writer of rows.
 fn apply(gateway: &Gateway, word: Word, source: Source, forward: bool) -> Change {
     let change = gateway
         .crashes
@@ -87,7 +88,7 @@
     change
 }
 
-/// Logs what has become of work.
+/// Logs that a request is held back or released.
 fn log_change(work: Fingerprint, change: Change, source: Source) {
     let work = work.to_string();
     let source = source_name(source);
@@ -106,7 +107,7 @@
     }
 }
 
-/// Notes that a request has had its whole answer.
+/// Records that a request was answered completely.
 pub fn mark_answered(call: &Call) {
     let gateway = &call.gateway;
     if gateway.crashes.lock().is_empty() {
@@ -119,23 +120,23 @@
     apply(gateway, word, Source::Own, true);
 }
 
-/// Takes what a peer has learned. Where processes form trees it is told on.
+/// Applies the crash reports in a peer's datagram. In a tree they are forwarded.
 pub fn receive(gateway: &Gateway, status: &PeerStatus, now: Instant) {
     for report in &status.crashes {
-        // One from before this host's clock began is too old to matter.
+        // A report from before the start of this host's clock is too old to matter.
         if let Some(word) = from_report(report, now) {
             apply(gateway, word, Source::Peer, status.scope != Scope::Direct);
         }
     }
 }
 
-/// What peers are to be told now.
+/// Crash reports to include in the next datagrams.
 pub fn pending_reports(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
     let words = gateway.crashes.lock().news(now);
     words.iter().map(|word| to_report(word, now)).collect()
 }
 
-/// Upstream ends that are recorded in the store, for a peer that is starting.
+/// Crashes that are recorded in the store, for a peer that is starting.
 pub fn recorded_ends(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
     let recorded = gateway.crashes.lock().recorded();
     let words = recorded.iter().map(|r| Word::End {
@@ -147,7 +148,7 @@
     words.map(|word| to_report(&word, now)).collect()
 }
 
-/// Applies the recorded upstream ends received from a peer.
+/// Applies the recorded crashes received from a peer.
 pub fn apply_recorded(gateway: &Gateway, reports: &[CrashReport], now: Instant) {
     for report in reports {
         if let Some(word) = from_report(report, now) {
--- a/crates/gateway/src/crashes/admit.rs
+++ b/crates/gateway/src/crashes/admit.rs
@@ -1,5 +1,5 @@
-//! Whether a request may be sent to an upstream, for each send anew: its key must still be
-//! in force, and upstreams must not end by it.
+//! Decides before each send to an upstream whether the request may be sent: its API key must still
+//! be valid, and the request must not be known to crash upstreams.
 
 use super::rows;
 use crate::account::Account;
@@ -12,11 +12,11 @@
 /// How a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// As any other.
+    /// To any upstream.
     Normal,
-    /// Where the least else runs, as an upstream may end by it.
+    /// To the least loaded upstream, as the request may crash it.
     Quarantined,
-    /// Not at all.
+    /// Not at all, for the given reason.
     Rejected(Reason),
 }
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// Decides how a request may be sent now. Asked before each send: first ones, retries, the
-/// generation of a prompt that was read, the rest of a broken stream.
+/// Decides how a request may be sent now. Called before each send: the first one, retries,
+/// generation after a prefill, and resumption of a broken stream.
 pub async fn admit(call: &Call, account: &mut Account) -> Admission {
     if let Err(why) = call.check_key(account) {
         return Admission::Rejected(why);
@@ -40,7 +40,7 @@
         return Admission::Normal;
     }
     if account.trial.is_some() && !account.may_have_run {
-        // The upstream that was chosen for it took no connection.
+        // The trial wasn't used, as the upstream chosen for it accepted no connection.
         return Admission::Quarantined;
     }
     let work = call.fingerprint();
@@ -72,7 +72,7 @@
     }
 }
 
-/// Gives a trial back that reached no upstream.
+/// Returns a trial that reached no upstream.
 pub fn return_unused_trial(call: &Call, account: &Account) {
     let Some(number) = account.trial.filter(|_| !account.may_have_run) else {
         return;
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -1,4 +1,4 @@
-//! Connections that break while a request is on them: has their upstream ended?
+//! Checks whether an upstream crashed when a connection to it breaks during a request.
 
 use crate::account::{Account, SentTo};
 use crate::fleet::UpstreamKey;
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long an upstream is given to show that it lives. A process that ends closes all its
-/// connections at once, and a busy host needs some ten milliseconds to see that they are
-/// closed; one that lives answers other requests meanwhile.
+/// Time in which an upstream can show that it is running. A process that ends closes all its
+/// connections at once, and a busy host takes about ten milliseconds to notice; a running upstream
+/// answers other requests in this time.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(100);
 
 /// A request whose connection to an upstream broke.
@@ -27,7 +27,7 @@
     at: Instant,
 }
 
-/// Notes that the connection broke on which an upstream ran a request.
+/// Starts a check of the upstream whose connection broke during a request.
 pub fn connection_broke(call: &Call, account: &mut Account) {
     let (Some(sent), Some(instance)) = (account.tried, account.upstream.clone()) else {
         return;
@@ -71,7 +71,8 @@
         });
     }
 
-    /// Whether the upstream's process has ended, as far as this one can tell.
+    /// Whether the upstream's process seems to have ended: it is gone, or it has neither answered
+    /// since nor has an open connection.
     fn has_ended(&self) -> bool {
         let fleet = self.gateway.fleet();
         let Some(upstream) = fleet.get(self.key) else {
--- a/crates/gateway/src/crashes/fingerprint.rs
+++ b/crates/gateway/src/crashes/fingerprint.rs
@@ -1,10 +1,10 @@
-//! The fingerprint of a request.
+//! Fingerprints of requests.
 
 use crate::serve::Call;
 use resilience::Fingerprint;
 
-/// Hashes what a request asks for and who asks: method, host, path with query, tenant
-/// and body. The tenant's key is no part of it: hashes are logged.
+/// Hashes method, host, path with query, tenant and body of a request. The tenant's API key is
+/// excluded, as fingerprints are logged.
 pub fn fingerprint(call: &Call) -> Fingerprint {
     let path = call.path.path_and_query().map_or("", |p| p.as_str());
     let parts = [
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -1,7 +1,8 @@
-//! Ends and trials in the store.
+//! Crashes and trials in the store.
 //!
-//! What has come twice is written, so that it reaches hosts that hear no peer and outlasts
-//! all processes; what was answered since, or is too old, is removed.
+//! A request's crashes are written from the second one on, so that they reach hosts without a live
+//! peer and survive restarts of all processes. Rows of requests that were answered later, and old
+//! rows, are removed.
 
 use super::{SharedCrashes, StoreClock, apply, log_change};
 use crate::follow::{Client, Dependency, held_for, wait_until_reader};
@@ -14,36 +15,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the store may hold a read: as long as it allows, as rows are rare. A connection
-/// that has gone silent shows only after that.
+/// Time for which the store may hold a read: the maximum that it allows, as rows are rare. A dead
+/// connection is noticed only after this time.
 const HOLD_TIME: Duration = Duration::from_secs(30);
-/// The same for a host that hears no peer, to which nobody else tells anything.
+/// Same for a host without a live peer, which learns of crashes only from the store.
 const HOLD_TIME_ISOLATED: Duration = Duration::from_secs(2);
-/// Longest wait for an answer besides, and for a write.
+/// Time allowed for the store's answer, in addition to the time for which it holds a read.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait of a request for its trial: its client waits meanwhile.
+/// Timeout for taking a trial, as a request and its client wait for it.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest wait after the start before the first read, of which chance draws a part: hosts
-/// that start together read other tables first. With it what is kept is known within the
-/// 3 s in which bounds don't count yet.
+/// Maximum of the random delay before the first read, as hosts that start together read other
+/// tables first. It is short enough for the rows to be known within the first 3 s after a start, in
+/// which bounds don't apply yet.
 const FIRST_READ_SPREAD: Duration = Duration::from_millis(1200);
-/// Pause after a read that told of changes, and between two writes: rows come several at
-/// once.
+/// Pause after a read with changes and between two writes, as rows are written several at a time.
 const PAUSE: Duration = Duration::from_millis(250);
-/// How long the host that saw an end has to write it. Then the first of the processes do,
-/// as it may be gone: what two or three hosts saw each would else be lost with one of them.
+/// Time in which the host that saw a crash writes its row. After that the processes of the lowest
+/// ranks write it, as that host may be gone: two or three crashes seen by different hosts would
+/// otherwise be lost with one of these hosts.
 const TAKEOVER_AFTER: Duration = Duration::from_millis(700);
 const TAKEOVER_WRITERS: u32 = 2;
-/// Rows that one call writes or removes.
+/// Maximum number of rows written or removed per call.
 const MAX_ROWS_PER_CALL: usize = 32;
-/// Ends whose rows one call removes, with those of their work's trials: the store takes no
-/// more entries in one.
+/// Maximum number of crashes whose rows, with those of the request's trials, fit into one removal.
 const MAX_ENDS_PER_CALL: usize = MAX_ENTRIES / (1 + TRIALS);
-/// Rows from which on only ends of work that is held back are written: a table of them is
-/// read in two pages.
+/// Number of rows from which only crashes of held back requests are written; a table of this size
+/// is read in two pages.
 const MAX_SUSPECT_ROWS: usize = 256;
 
-/// Follows the rows until the process ends.
+/// Follows the rows in the store until the process ends.
 pub async fn follow(gateway: Arc<Gateway>) {
     tokio::time::sleep(FIRST_READ_SPREAD.mul_f64(fastrand::f64())).await;
     gateway
@@ -53,7 +53,7 @@
     let mut client = Client::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     let mut from = Feed::Start;
-    // Pages of the table while it is read in full.
+    // Pages of a full read of the table.
     let mut pages = Vec::new();
     loop {
         let is_full_read = !matches!(from, Feed::Since(_));
@@ -73,7 +73,7 @@
                     emit(&Event::Undecodable { what, why });
                 }
                 gateway.crashes.set_clock(change.now_ms);
-                // Rows that came due before the first read wait for its clock.
+                // Rows that were due before the first read need the store's clock.
                 gateway.crashes.write_pending.notify_one();
                 pages.extend(change.items);
                 from = change.next;
@@ -100,7 +100,7 @@
     }
 }
 
-/// Takes what a read tells. A whole one also tells by absence.
+/// Applies the changes of a read. In a full read, recorded crashes without a row are forgotten.
 fn merge(gateway: &Gateway, changes: &[CrashChange], is_full_read: bool) {
     if is_full_read {
         let is_present = |record: &Record| {
@@ -146,8 +146,8 @@
         return;
     }
     let work = Fingerprint(row.key.work);
-    // A host that has started since can't name a time before its clock began; that the row
-    // is still to be kept is all that matters then.
+    // On a host that has started since, the time may be before the start of its clock. Only the
+    // fact that the row hasn't expired matters then.
     let now = Instant::now();
     let at = clock.to_instant(row.at_ms).unwrap_or(now);
     match row.key.mark {
@@ -172,7 +172,7 @@
     Duration::from_millis(age_ms) >= REMEMBERED
 }
 
-/// Removes rows that are too old. The first of the processes does it for all.
+/// Removes expired rows. Only the process of rank 0 does so.
 async fn remove_expired(gateway: &Gateway, client: &mut Client, changes: &[CrashChange]) {
     let Some(clock) = gateway.crashes.clock().filter(|_| gateway.rank() == 0) else {
         return;
@@ -195,12 +195,12 @@
     }
 }
 
-/// Writes what the store is to keep, and removes what it needn't, until the process ends.
+/// Writes rows of new crashes and removes rows that are no longer needed, until the process ends.
 pub async fn write(gateway: Arc<Gateway>) {
     let mut client = Client::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     loop {
-        // Looked at from time to time too, for ends that others should have written.
+        // Also checks periodically for crashes that other hosts should have written.
         let changed = gateway.crashes.write_pending.notified();
         let _ = tokio::time::timeout(TAKEOVER_AFTER, changed).await;
         if gateway.crashes.lock().is_empty() {
@@ -222,10 +222,10 @@
     }
 }
 
-/// Writes or removes some rows; says whether there were any.
+/// Writes or removes a batch of rows; returns whether there were any.
 async fn write_once(gateway: &Gateway, client: &mut Client) -> Result<bool, StoreError> {
     let Some(clock) = gateway.crashes.clock() else {
-        // Nothing was read yet; the first read has it tried again.
+        // The first read of the table notifies the writer again.
         return Ok(false);
     };
     let ends = to_record(gateway);
@@ -259,15 +259,13 @@
     }
 }
 
-/// Whether this host hears no peer, though there are some: it has only the store to tell
-/// them, and to hear of them.
+/// Whether there are peers but none is live. Crash reports can then be exchanged only by the store.
 fn has_no_live_peer(gateway: &Gateway) -> bool {
     let peers = gateway.peers();
     !peers.is_empty() && peers.live(Instant::now()).next().is_none()
 }
 
-/// The ends that are to be written now: the first end of any work by a host that hears no
-/// peer.
+/// Crashes to write now. A host without a live peer writes from the first crash of a request.
 fn to_record(gateway: &Gateway) -> Vec<Record> {
     let (has_no_live_peer, takeover_before) = (has_no_live_peer(gateway), takeover_before(gateway));
     let crashes = gateway.crashes.lock();
@@ -279,7 +277,7 @@
     crashes.to_record(min_ends, takeover_before, MAX_ROWS_PER_CALL)
 }
 
-/// The ends whose rows are to be removed now.
+/// Crashes whose rows to remove now.
 fn to_remove(gateway: &Gateway) -> Vec<Record> {
     let takeover_before = takeover_before(gateway);
     gateway
@@ -288,7 +286,8 @@
         .to_remove(takeover_before, MAX_ENDS_PER_CALL)
 }
 
-/// Before when what others saw is this host's to write; none if it writes its own only.
+/// Time before which this host handles rows that other hosts left; `None` if it handles only its
+/// own.
 fn takeover_before(gateway: &Gateway) -> Option<Instant> {
     let is_writer = gateway.rank() < TAKEOVER_WRITERS;
     Instant::now()
@@ -303,7 +302,7 @@
     }
 }
 
-/// The rows that go with an end: its own, and those of the work's trials.
+/// Keys of a crash's row and of the rows of the request's trials.
 fn end_and_trial_keys(record: &Record) -> Vec<CrashKey> {
     let trials = (0..TRIALS).map(|number| trial_key(record.work, number));
     std::iter::once(end_key(record)).chain(trials).collect()
@@ -316,9 +315,9 @@
     }
 }
 
-/// Takes a trial of held work for all hosts; says whether it is this host's. The store tells
-/// whose it is; while it doesn't answer, the first of the processes takes them, and those that
-/// have no row.
+/// Takes a trial of a held back request for all hosts; returns whether this host may run it. The
+/// store decides between hosts. If it doesn't answer, or if the trial has no row, the process of
+/// rank 0 takes the trial.
 pub async fn take_trial(gateway: &Arc<Gateway>, work: Fingerprint, number: usize) -> bool {
     let Some(clock) = gateway.crashes.clock() else {
         return false;
@@ -328,11 +327,11 @@
         true => match write_trial(gateway, clock, work, number).await {
             Ok(TrialWrite::Taken) => (true, "taken".to_owned()),
             Ok(TrialWrite::Refused) => {
-                // Its row says when, but may be read only later.
+                // The row has the exact time, but may be read only later.
                 trial_taken(gateway, work, number);
                 (false, "another host has taken it".to_owned())
             }
-            // Its row may be written now or later, and then counts as a trial.
+            // The row may be written now or later, and then counts as a trial.
             Err(e) if is_first => (true, format!("taken without the store: {e}")),
             Err(e) => (false, e.to_string()),
         },
@@ -355,7 +354,7 @@
     crashes.trial_taken(work, number, Instant::now());
 }
 
-/// Writes a trial's row, unless another host has.
+/// Writes a trial's row unless another host has done so.
 async fn write_trial(
     gateway: &Arc<Gateway>,
     clock: StoreClock,
@@ -372,7 +371,7 @@
     client.store().take_trial(&row, TRIAL_TIMEOUT).await
 }
 
-/// Gives back a trial that reached no upstream.
+/// Returns a trial that reached no upstream.
 pub fn return_trial(gateway: &Arc<Gateway>, work: Fingerprint, number: usize) {
     gateway.crashes.lock().trial_returned(work, number);
     let gateway = gateway.clone();
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -1,8 +1,8 @@
-//! Requests whose answer doesn't come: has their upstream ended?
+//! Checks whether an upstream crashed when it doesn't answer a request.
 //!
-//! An upstream that ends without closing its connections leaves a request without an end and
-//! without an answer. Taken for nothing, guilty work would be sent on and end one more each
-//! time. What the registry says of the upstream tells.
+//! An upstream that ends without closing its connections leaves the request neither failed nor
+//! answered. If this weren't counted, the request would be sent on and crash further upstreams.
+//! Whether the upstream has ended is determined from the registry.
 
 use crate::account::{Account, SentTo};
 use crate::serve::Call;
@@ -15,16 +15,17 @@
 use tokio::sync::Semaphore;
 use tokio::task::AbortHandle;
 
-/// Time between two looks.
+/// Interval between checks.
 const CHECK_EVERY: Duration = Duration::from_millis(500);
-/// How long it is looked: the entry of an upstream that is gone lapses within some seconds.
+/// Time for which an upstream is checked; the registry entry of an upstream that is gone expires
+/// within a few seconds.
 const WATCH_TIME: Duration = Duration::from_secs(15);
 
-/// Requests whose upstreams are watched at once, trials aside: when many upstreams are cut off
-/// some tell as much as all.
+/// Maximum number of requests whose upstreams are watched at the same time, except trials. When
+/// many upstreams are cut off, a sample is enough.
 const MAX_WATCHED: usize = 64;
 
-/// WatchPermits for requests whose upstreams are watched.
+/// Permits for watching the upstreams of requests.
 #[derive(Debug, Clone)]
 pub(super) struct WatchPermits(Arc<Semaphore>);
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// A request that was sent.
+/// A request whose upstream is watched.
 struct WatchedRequest {
     gateway: Arc<Gateway>,
     request: String,
@@ -45,23 +46,23 @@
     at: Instant,
 }
 
-/// What is known of its upstream.
+/// State of the upstream of a watched request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UpstreamFate {
-    /// Nothing yet, or its connection broke, which is judged elsewhere.
+    /// Not known yet. A broken connection is handled in [`super::broken`].
     Unknown,
-    /// It has answered something since, or leaves as planned.
+    /// It has answered a request since, or is leaving as planned.
     Alive,
-    /// It is gone, or has started again.
+    /// It is gone, or has restarted.
     Ended,
 }
 
-/// A watch on the upstream that a trial is sent to; it goes on by itself.
+/// A background watch on the upstream to which a trial is sent.
 #[derive(Debug, Default)]
 pub struct TrialWatch(Option<AbortHandle>);
 
 impl TrialWatch {
-    /// Ends it, as the trial wasn't sent or the upstream says that it doesn't run it.
+    /// Stops the watch, as the trial wasn't sent or the upstream says that it isn't running it.
     pub fn cancel(self) {
         if let Some(task) = self.0 {
             task.abort();
@@ -69,7 +70,7 @@
     }
 }
 
-/// Watches the upstream that a request is sent to, if this is a trial.
+/// Watches the upstream to which a request is sent, if the request is a trial.
 pub fn watch_trial(call: &Call, account: &Account) -> TrialWatch {
     if account.trial.is_none() {
         return TrialWatch::default();
@@ -80,8 +81,8 @@
     TrialWatch(Some(tokio::spawn(request.watch()).abort_handle()))
 }
 
-/// Watches the upstream of a request that it has not answered in time. Trials are watched from
-/// the time on at which they are sent.
+/// Watches the upstream of a request that wasn't answered in time. Trials are already watched from
+/// when they are sent.
 pub fn watch_timed_out(call: &Call, account: &mut Account) {
     if account.trial.is_some() || !account.may_have_run {
         return;
@@ -101,7 +102,7 @@
 }
 
 impl WatchedRequest {
-    /// What was sent just now, or went unanswered until now.
+    /// Watch of a request that was just sent, or just timed out.
     fn new(call: &Call, account: &Account) -> Option<Self> {
         Some(Self {
             gateway: call.gateway.clone(),
@@ -117,7 +118,7 @@
     async fn watch(self) {
         while self.at.elapsed() < WATCH_TIME {
             tokio::time::sleep(CHECK_EVERY).await;
-            // Cleared meanwhile, it was answered.
+            // The request was answered and thereby cleared.
             if self.in_trial && self.gateway.crashes.lock().counted(self.work) == 0 {
                 return;
             }
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Counts the end, unless it is known by a connection that broke.
+    /// Counts the crash, unless it is already known from a broken connection.
     fn report_end(&self) {
         let word = Word::End {
             work: self.work,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,10 +1,10 @@
-//! The other processes of the system.
+//! The other processes of the system (peers).
 //!
-//! Each tells others, in small datagrams, how much work upstreams were sent and which
-//! versions it knows. Few processes tell each other directly. Many form a tree in each
-//! availability zone (see [`tree`]) and tell sums, so that what each sends and hears
-//! doesn't grow with their number. Who the others are stands in the store, and a
-//! datagram makes its sender known too.
+//! Processes exchange small datagrams with the load that they put on upstreams and the versions of
+//! the configuration and the registry that they know. A small number of processes form a full mesh.
+//! A larger number form a tree in each availability zone (see [`tree`]) and exchange sums, so that
+//! the datagrams per process don't grow with the number of processes. Peers are listed in the
+//! store, and a datagram also makes its sender known.
 
 pub mod catch_up;
 pub mod exchange;
@@ -21,24 +21,23 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// A peer that was silent for so long counts as gone, and its load with it: three
-/// times the longest pause between two datagrams.
+/// Silence after which a peer counts as gone and its load is removed: three times the longest
+/// interval between two datagrams.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Most peers that are each told directly. So many hear each other every 64 ms, and by
-/// the tree within some 50 ms. With 30 processes in trees two of the users' deployments
-/// earn 0.015 and 0.03 more of what is owed than with 30 that tell each other directly.
+/// Maximum number of peers for a full mesh. With this number each pair exchanges a datagram every
+/// 64 ms, while a tree propagates a change within about 50 ms.
 const MAX_DIRECT_PEERS: usize = 16;
-/// Most peers that are known. Bounds the memory that unknown senders can take.
+/// Maximum number of known peers. Bounds the memory used by unknown senders.
 const MAX_PEERS: usize = 4096;
-/// A process that has heard no peer for this long reads the store itself.
+/// Time without a datagram from any peer after which a process reads the store itself.
 const ISOLATED_AFTER: Duration = Duration::from_secs(1);
-/// Processes, besides the roots, that hold reads of whole tables at the store. The others
-/// receive changes from peers, so the calls for a change don't grow with the number of
-/// processes. They are spread over all zones, so that some reach the store while it refuses
+/// Number of processes, besides the roots, that hold long-polling reads of whole tables at the
+/// store. The others receive changes from peers, so the calls per change don't grow with the number
+/// of processes. Readers are spread over all zones, so that some reach the store while it refuses
 /// others.
 const FEED_READERS: usize = 32;
 
-/// The host of a process and its availability zone.
+/// Address of a process and its availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Location {
     /// Address of its host.
@@ -58,7 +57,7 @@
     pub zone: u32,
 }
 
-/// Hash by which feed readers are chosen, so that they come from all zones.
+/// Hash by which feed readers are chosen, so that they are spread over all zones.
 fn address_hash(ip: IpAddr) -> u64 {
     match ip {
         IpAddr::V4(ip) => xxhash_rust::xxh3::xxh3_64(&ip.octets()),
@@ -66,77 +65,78 @@
     }
 }
 
-/// Hash under which an availability zone is known to peers.
+/// Hash that identifies an availability zone in datagrams.
 pub fn zone_hash(zone: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(zone.as_bytes()) as u32
 }
 
-/// A peer, as it last said.
+/// A peer and its last status.
 #[derive(Debug)]
 pub struct Peer {
     /// Address of its host.
     pub ip: IpAddr,
-    /// Name of its host, if the store told of it.
+    /// Name of its host, if it is listed in the store.
     host: Option<String>,
     /// Hash of its availability zone; 0 until it is known.
     zone: u32,
     last_seen_at: Option<Instant>,
     status: Option<PeerStatus>,
-    /// Since when it is asked whether it is the root of its zone.
+    /// Time of the first unanswered probe whether it is the root of its zone.
     root_probe_since: Option<Instant>,
-    /// Whether it waits for an answer that this process is there.
+    /// Whether it has sent a hello that isn't answered yet.
     awaits_reply: bool,
     backoff_until: Option<Instant>,
-    /// For how long it was avoided last.
+    /// Duration of the last backoff after unanswered probes.
     backoff: Duration,
 }
 
-/// All peers, sorted by address.
+/// All known peers, sorted by address.
 #[derive(Debug, Default)]
 pub struct Peers {
     all: Vec<Peer>,
-    /// The peer that this process reports to.
+    /// The peer to which this process reports.
     parent: Option<IpAddr>,
-    /// Since when it looks for one; none while it has one or is a root.
+    /// Start of the search for a parent; `None` if this process has one, uses a full mesh, or has
+    /// no candidates.
     parent_search_since: Option<Instant>,
-    /// Whether it speaks for its zone to other zones.
+    /// Whether this process exchanges the sums of its zone with the roots of other zones.
     is_root: bool,
     /// Whether the processes form trees, as far as this one knows.
     is_tree: bool,
-    /// When it last asked whether those are there that it may report to.
+    /// Time of the last hellos to possible parents.
     last_hello_at: Option<Instant>,
-    /// When it last asked whether those are there that usually report to it.
+    /// Time of the last hellos to usual children.
     last_child_hello_at: Option<Instant>,
-    /// Whether the store has told of the peers.
+    /// Whether the list of processes has been read from the store or a peer.
     is_membership_known: bool,
-    /// When this process was first found to hear no peer; `None` while it hears one.
+    /// Time at which it was first found that no peer is live; `None` while one is.
     isolated_since: Option<Instant>,
-    /// Counts what was heard that changes what is told on.
+    /// Incremented on each change of what is forwarded to peers.
     revision: u64,
 }
 
 impl Peers {
-    /// Notes a peer that the store tells of.
+    /// Adds a peer that is listed in the store.
     pub fn add(&mut self, host: &str, ip: IpAddr, zone: u32) {
         if let Some(peer) = self.find_or_add(ip) {
             peer.host = Some(host.to_owned());
             peer.zone = zone;
-            // Its row is written when it starts, so it may answer now.
+            // A process writes its row when it starts, so it may answer now.
             peer.backoff_until = None;
         }
     }
 
-    /// Notes that the store has told of the peers.
+    /// Records that the list of processes is known.
     pub fn set_membership_known(&mut self) {
         self.is_membership_known = true;
     }
 
-    /// Whether the store has told of the peers.
+    /// Whether the list of processes is known.
     pub fn is_membership_known(&self) -> bool {
         self.is_membership_known
     }
 
-    /// Notes that the store no longer tells of a host's process.
+    /// Removes the process of a host that is no longer listed in the store.
     pub fn remove(&mut self, host: &str, fleet: &mut Fleet) {
         let at = self
             .all
@@ -160,7 +160,7 @@
         Some(&mut self.all[at])
     }
 
-    /// Takes a datagram from an address; says whether it was new.
+    /// Processes a datagram from an address; returns whether it was new.
     pub fn receive(
         &mut self,
         ip: IpAddr,
@@ -180,10 +180,10 @@
         peer.awaits_reply |= status.scope == Scope::Hello;
         peer.zone = status.zone;
         if !status.scope.has_load() && peer.is_live(now, timeout) && peer.reports_load() {
-            // It is there, as its last word has said already.
+            // The peer is known to be live, and its last status remains valid.
             return true;
         }
-        // A peer may say anything; the sum of all must stay a number.
+        // A peer may send any value; the bound keeps the sum over all peers from overflowing.
         status.processes = status.processes.min(MAX_PEERS as u32);
         if !is_accepted {
             status.loads.clear();
@@ -218,8 +218,8 @@
         true
     }
 
-    /// Whether loads count that a peer tells with a scope: each process's load must
-    /// come by one way only.
+    /// Whether the load that a peer reports with a scope is counted. The load of each process must
+    /// arrive by one path only.
     fn accepts_load(&self, ip: IpAddr, scope: Scope) -> bool {
         match scope {
             Scope::Direct | Scope::Up => true,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Takes off what others than the parent said of the whole system.
+    /// Removes load of the whole system that was reported by peers other than the parent.
     fn remove_former_parents_load(&mut self, parent: IpAddr, fleet: &mut Fleet) {
         for peer in self.all.iter_mut().filter(|p| p.ip != parent) {
             if matches!(peer.scope(), Some(Scope::Down | Scope::Across)) {
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Takes the load of peers that fell silent off the upstreams. A peer that
-    /// only its datagrams made known is forgotten.
+    /// Removes the load of silent peers from the upstreams, and forgets silent peers that aren't
+    /// listed in the store.
     pub fn expire(&mut self, fleet: &mut Fleet, now: Instant) {
         let timeout = self.peer_timeout();
         let mut gone = 0;
@@ -258,8 +258,8 @@
             .retain(|p| p.host.is_some() || p.is_live(now, timeout));
     }
 
-    /// Silence after which a peer counts as gone. Where each is told directly, each
-    /// hears the less often the more there are.
+    /// Silence after which a peer counts as gone. In a full mesh, the interval between datagrams
+    /// grows with the number of peers.
     fn peer_timeout(&self) -> Duration {
         match self.is_direct() {
             true => PEER_TIMEOUT.max(exchange::direct_send_interval(self.all.len()) * 4),
@@ -267,8 +267,9 @@
         }
     }
 
-    /// Whether the process on this host holds reads of whole tables at the store. Roots always
-    /// do, as does every process until the members are listed.
+    /// Whether the process on this host holds long-polling reads of whole tables at the store.
+    /// Roots always do, as does every process in a full mesh and every process that doesn't know
+    /// the list of processes.
     pub fn is_feed_reader(&self, own: IpAddr) -> bool {
         if self.is_direct() || !self.is_membership_known || self.is_root {
             return true;
@@ -278,7 +279,7 @@
         before.take(FEED_READERS).count() < FEED_READERS
     }
 
-    /// Whether no peer has been heard for `ISOLATED_AFTER`.
+    /// Whether no peer has been live for `ISOLATED_AFTER`.
     pub fn is_isolated(&self, now: Instant) -> bool {
         let silence = self
             .isolated_since
@@ -298,7 +299,7 @@
         listed.collect()
     }
 
-    /// Replaces the listed processes by the complete list of a peer.
+    /// Replaces the listed processes by a peer's complete list.
     pub fn set_members(&mut self, own: IpAddr, members: &[Member], fleet: &mut Fleet) {
         let is_member = |host: &str| members.iter().any(|m| m.host == host);
         let listed = self.all.iter().filter_map(|p| p.host.clone());
@@ -315,29 +316,29 @@
         self.is_membership_known = true;
     }
 
-    /// Whether each peer is told directly.
+    /// Whether the processes form a full mesh instead of trees.
     pub fn is_direct(&self) -> bool {
         !self.is_tree
     }
 
-    /// Looks anew whether the processes form trees: where many are known, or a peer
-    /// speaks so. One that has just started may know few while the store refuses it.
+    /// Determines whether the processes form trees: if many are known, or a peer uses a tree. A
+    /// process that has just started may know few peers while the store refuses its reads.
     fn update_topology(&mut self, now: Instant) {
         let peer_uses_tree = self.live(now).any(|(_, s)| s.scope != Scope::Direct);
         self.is_tree = peer_uses_tree || self.all.len() > MAX_DIRECT_PEERS;
     }
 
-    /// Addresses of all peers that are known.
+    /// Addresses of all known peers.
     pub fn addresses(&self) -> Vec<IpAddr> {
         self.all.iter().map(|p| p.ip).collect()
     }
 
-    /// Whether a peer is known.
+    /// Whether an address belongs to a known peer.
     pub fn knows(&self, ip: IpAddr) -> bool {
         self.all.binary_search_by_key(&ip, |p| p.ip).is_ok()
     }
 
-    /// Peers that are known.
+    /// Number of known peers.
     pub fn len(&self) -> usize {
         self.all.len()
     }
@@ -347,19 +348,19 @@
         self.all.is_empty()
     }
 
-    /// Changes when something was heard that changes what is told on.
+    /// Number that increases on each change of what is forwarded to peers.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The peer that this process reports to, if any.
+    /// The peer to which this process reports, if any.
     pub fn parent(&self) -> Option<IpAddr> {
         self.parent
     }
 
-    /// Processes of the system besides this one: those that are alive as far as this
-    /// process hears, or those that the store tells of if these are more. All of them
-    /// share the retry budget, and one that is cut off must not take all of it.
+    /// Number of other processes: those that are live according to datagrams, or those listed in
+    /// the store if these are more. All processes share the retry budget, and one that is cut off
+    /// must not use all of it.
     pub fn process_count(&self, now: Instant) -> u32 {
         if !self.is_membership_known {
             return MAX_PEERS as u32;
@@ -369,7 +370,7 @@
         listed.max(reported)
     }
 
-    /// Peers that were heard of late.
+    /// Peers that sent a datagram recently, with their last status.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = (&Peer, &PeerStatus)> {
         let timeout = self.peer_timeout();
         let live = self.all.iter().filter(move |p| p.is_live(now, timeout));
@@ -407,8 +408,8 @@
         silence.is_some_and(|s| s < timeout)
     }
 
-    /// Takes what it last said off the upstreams; only its versions are kept. Says
-    /// whether there was something.
+    /// Removes its last reported load from the upstreams, and keeps the versions of its status.
+    /// Returns whether there was any load.
     fn remove_load(&mut self, fleet: &mut Fleet) -> bool {
         let Some(status) = &mut self.status else {
             return false;
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -1,8 +1,9 @@
-//! Takes the configuration and the registry from a peer that has newer ones, over
-//! HTTP on the port of the datagrams.
+//! Fetches newer configurations, registry changes and members from peers, over HTTP on the same
+//! port number as the datagrams.
 //!
-//! Of the registry only what has changed is told, where the peer knows that. Its hash
-//! of all that it knows shows whether that was enough; else all of it is fetched.
+//! Peers send only the changes of the registry if they still know them. A hash of the whole
+//! registry shows whether applying the changes gave the same result; if not, the whole registry is
+//! fetched.
 
 use crate::fleet::durations::Told;
 use crate::follow;
@@ -22,60 +23,61 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Time that the store has to bring what a peer has already before the peer is
-/// asked: asking is for processes that the store refuses.
+/// Time for the store to deliver a configuration that a peer already has, before the peer is asked.
+/// Asking peers is meant for processes that the store refuses.
 const STORE_GRACE: Duration = Duration::from_millis(250);
-/// The same for a process that has never read the registry, while all tell each other
-/// directly: all would ask the same that has read it first, when all start together.
-/// In a tree few do.
+/// Same for the first read of the registry in a full mesh, where all processes that start together
+/// would ask the one that has read it first. In a tree few do.
 const FIRST_READ_GRACE: Duration = Duration::from_millis(1500);
-/// Pause between two looks at what peers know, besides those that a datagram of a peer
-/// with a newer registry brings about.
+/// Interval between checks for newer versions at peers, in addition to the check on a datagram with
+/// a newer version.
 const CHECK_EVERY: Duration = Duration::from_millis(200);
-/// Longest wait for a peer's answer: 300 KB over a link of 10 Mbit/s take 240 ms.
+/// Timeout of requests to peers: 300 KB over a link of 10 Mbit/s take 240 ms.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest wait for a peer's snapshot. Shorter, as a peer that doesn't answer delays the start.
+/// Timeout of requests for a snapshot. It is shorter, as a peer that doesn't answer delays the
+/// start.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Largest answer of a peer: some thousand routes or upstreams.
+/// Maximum size of a peer's response; enough for several thousand routes or upstreams.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// How often a process that has just started asks peers how long answers take: those that
-/// started with it know no more. And the pause between two rounds, also of one that stops.
+/// Maximum number of peers that a starting process asks for response durations, as those that
+/// started with it have none either, and the pause between two requests. A stopping process uses
+/// the same pause.
 const DURATIONS_ATTEMPTS: u32 = 3;
 const DURATIONS_PAUSE: Duration = Duration::from_millis(700);
 
-/// Shortest interval between two reads of the members from a peer. New members are known
-/// sooner by their datagrams.
+/// Minimum interval between two reads of the members from a peer. New members are known earlier
+/// from their datagrams.
 const MEMBERS_EVERY: Duration = Duration::from_secs(15);
 
 const CONFIG_PATH: &str = "/config";
 const SNAPSHOT_PATH: &str = "/everything";
 const MEMBERS_PATH: &str = "/members";
 const DURATIONS_PATH: &str = "/durations";
-/// Path of what has changed in the registry since a version, which stands behind it;
-/// version 0 for all of it.
+/// Path of registry changes, followed by the version since which they are requested; version 0
+/// requests the whole registry.
 const REGISTRY_PATH: &str = "/registry/since/";
 
-/// What has changed in the registry since a version, or all of it.
+/// Changes of the registry since a version, or the whole registry.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RegistryChanges {
-    /// The version that these changes lead to.
+    /// Version after these changes.
     pub version: u64,
-    /// Age of the read that they come from, in milliseconds.
+    /// Age of the read of the store that they come from, in milliseconds.
     pub read_ms_ago: u32,
     /// The store's clock at that read, in milliseconds.
     pub store_ms: u64,
-    /// Hash of the whole registry then; see [`crate::fleet::Fleet::view`].
+    /// Hash of the whole registry at this version; see [`crate::fleet::Fleet::view`].
     pub view: u64,
-    /// Whether all upstreams are told, so that others are gone.
+    /// Whether `present` has all upstreams, so that any others are gone.
     pub is_whole: bool,
     /// Upstreams that were added or changed.
     pub present: Vec<Instance>,
-    /// Ids of those that are gone.
+    /// Ids of upstreams that were removed.
     pub gone: Vec<String>,
 }
 
-/// Asks peers for what they know and this process doesn't, until it ends.
+/// Fetches newer state from peers until the process ends.
 pub async fn fetch_updates(gateway: Arc<Gateway>) {
     let started_at = Instant::now();
     let mut config_ahead_since = None;
@@ -102,7 +104,8 @@
                 fetch_members(&gateway, ip).await;
             }
         }
-        // A peer that is ahead and knows the same has been taken at its word.
+        // A peer with a newer version but the same registry isn't asked, as its datagrams have
+        // already raised the version here.
         let known = gateway.registry().version;
         let may_wait = known == 0 && gateway.peers().is_direct();
         if may_wait && now - started_at < FIRST_READ_GRACE {
@@ -112,7 +115,7 @@
             continue;
         };
         if !fetch_registry(&gateway, ip, known).await {
-            // Its datagrams go on telling of it, a hundred a second.
+            // The peer's datagrams, about 100 per second, would trigger the next attempt at once.
             tokio::time::sleep(CHECK_EVERY).await;
         }
     }
@@ -145,13 +148,13 @@
     let addr = SocketAddr::new(ip, gateway.host().peer_port);
     match get(gateway, addr, SNAPSHOT_PATH, SNAPSHOT_TIMEOUT).await {
         Ok((StatusCode::OK, body)) => wire::decode(&body),
-        // A peer that is starting too has no complete snapshot yet.
+        // The peer is also starting and has no complete snapshot yet.
         Ok(_) | Err(_) => None,
     }
 }
 
-/// Takes from a peer how long answers take, once this process knows its services. Peers that
-/// have just started too tell nothing; then another is asked.
+/// Loads response durations from a peer once this process is ready. Peers that have just started
+/// have none; then another peer is asked.
 pub async fn fetch_durations(gateway: Arc<Gateway>) {
     let mut attempts = 0;
     while attempts < DURATIONS_ATTEMPTS {
@@ -166,12 +169,12 @@
     }
 }
 
-/// Takes from all peers that this process hears how long answers take, from the stop signal
-/// on until it takes no more requests: each has seen a share of the slow ones.
+/// Loads response durations from all live peers, from the stop signal until this process accepts no
+/// more requests. Each peer has seen a part of the slow requests.
 pub async fn fetch_all_durations(gateway: Arc<Gateway>) {
     let ending = gateway.stopping().await;
     while Instant::now() < ending.closed_at {
-        // At once: one that doesn't answer must not hold up what the others know.
+        // Concurrently, so that a peer that doesn't answer doesn't delay the others.
         let requests = live_peers(&gateway)
             .into_iter()
             .map(|ip| (gateway.clone(), ip))
@@ -181,7 +184,7 @@
     }
 }
 
-/// Takes from a peer how long answers take; says whether it has seen any.
+/// Loads response durations from a peer; returns whether it has any.
 async fn fetch_durations_from(gateway: &Gateway, ip: IpAddr) -> bool {
     let Some(durations) = fetch::<Vec<Told>>(gateway, ip, DURATIONS_PATH).await else {
         return false;
@@ -196,10 +199,11 @@
     live.map(|(peer, _)| peer.ip).collect()
 }
 
-/// Takes a peer's registry: what has changed, or all of it if that isn't enough. Says
-/// whether this process knows the same as the peer then.
+/// Fetches the changes of a peer's registry, or the whole registry if the changes aren't enough.
+/// Returns whether the registry then equals the peer's, or is newer.
 async fn fetch_registry(gateway: &Arc<Gateway>, ip: IpAddr, known: u64) -> bool {
-    // What is held back is settled by a whole registry only.
+    // Upstreams that were missing from the last read and may come back are settled only by a whole
+    // registry.
     let since = match gateway.missing().is_empty() {
         true => known,
         false => 0,
@@ -217,8 +221,8 @@
     false
 }
 
-/// Takes changes of the registry that a peer was asked for at a time; says whether this
-/// process knows the same as the peer then.
+/// Applies registry changes that were requested from a peer at `asked_at`. Returns whether the
+/// registry then equals the peer's, or is newer.
 pub fn apply_changes(gateway: &Arc<Gateway>, changes: RegistryChanges, asked_at: Instant) -> bool {
     let RegistryChanges {
         version,
@@ -241,14 +245,14 @@
     if !is_same {
         emit(&Event::Undecodable {
             what: "changes of a peer",
-            why: format!("version {version} is not the same registry here"),
+            why: format!("the registry differs from the peer's at version {version}"),
         });
     }
     is_same
 }
 
-/// A live peer with the newest version of something, if it is newer than ours; any
-/// of those that have it, so that not all ask the same.
+/// A random one of the live peers with the highest version, if that is higher than `known`. The
+/// choice is random so that processes don't all ask the same peer.
 fn peer_with_newer(
     gateway: &Gateway,
     version: impl Fn(&PeerStatus) -> u64,
@@ -300,7 +304,7 @@
     pool.call(req, MAX_RESPONSE_BYTES, timeout).await
 }
 
-/// Answers a peer's question.
+/// Handles a peer's HTTP request.
 pub fn handle_request(gateway: &Gateway, req: &Request<Incoming>) -> Response<Body> {
     let path = req.uri().path();
     let body = match path.strip_prefix(REGISTRY_PATH) {
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! Tells peers of this process's load, and hears of theirs.
+//! Exchanges load and versions with peers in datagrams.
 
 use crate::StartError;
 use crate::crashes;
@@ -12,37 +12,37 @@
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
 
-/// Shortest time between two datagrams to one peer. What a peer doesn't know yet
-/// is what it may send too much: some two prompts of 10 ms in this time.
+/// Minimum interval between two datagrams to one peer. Until a peer knows the current load it may
+/// send an upstream too much: about two prompts of 10 ms in this time.
 const SEND_EVERY: Duration = Duration::from_millis(10);
-/// Time added for each peer that is told directly, so that a process sends and takes
-/// at most some 250 datagrams a second.
+/// Interval added for each peer in a full mesh, so that a process sends and receives at most about
+/// 250 datagrams per second.
 const SEND_EVERY_PER_PEER: Duration = Duration::from_millis(4);
-/// Shortest time between two datagrams over a link of the tree. News waits half of it
-/// at each of up to seven steps. Where 103 processes choose among the same engines,
-/// estimates explain 0.55 of the variance of reading times in a burst with this and none
-/// with 25 to 40 ms, and 0.03 to 0.09 more of what is owed is earned.
+/// Minimum interval between two datagrams over a link of the tree. A change waits half of it on
+/// average at each of up to seven hops. With 103 processes choosing among the same engines,
+/// estimates explain 0.55 of the variance of prefill times in a burst with this interval, and none
+/// with 25 to 40 ms.
 const TREE_SEND_EVERY: Duration = Duration::from_millis(10);
-/// Bytes a second over a link of the tree, so that what is told of 600 upstreams doesn't
-/// take more than a tenth of a link of 10 Mbit/s: larger datagrams are sent less often.
+/// Bytes per second over a link of the tree, so that the load of 600 upstreams takes at most a
+/// tenth of a link of 10 Mbit/s. Larger datagrams are sent less often.
 const TREE_BYTES_PER_S: f64 = 80_000.0;
-/// Steps from any process to any other: up and down three levels, and across.
+/// Maximum number of hops between two processes: up and down three levels, and between roots.
 const MAX_TREE_HOPS: u32 = 7;
-/// Datagrams that tell of a placement, as one may be lost.
+/// Number of datagrams that contain a placement, as datagrams may be lost.
 const PLACEMENT_SENDS: u32 = 4;
-/// Longest time between two datagrams, so that a silent peer is a lost one.
+/// Maximum interval between two datagrams, so that a silent peer can be considered gone.
 const MAX_SEND_INTERVAL: Duration = Duration::from_millis(200);
-/// Largest datagram: 12 bytes for each of some thousand upstreams.
+/// Maximum size of a datagram: 12 bytes for each of more than a thousand upstreams.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
-/// Most upstreams whose load one datagram tells of.
+/// Maximum number of upstreams whose load is in one datagram.
 const MAX_LOADS: usize = 1200;
-/// Most senders of unreadable datagrams that are logged.
+/// Maximum number of senders of unreadable datagrams that are tracked and logged.
 const MAX_UNREADABLE_SENDERS: usize = 1024;
-/// Largest head, and longest idle time, of a peer's connection.
+/// Maximum size of a request head, and idle timeout, of a peer's connection.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Starts to tell and to hear, and answers peers' questions.
+/// Starts the exchange of datagrams and the HTTP server for peers.
 pub fn start(gateway: &Arc<Gateway>) -> Result<Stop, StartError> {
     let host = gateway.host();
     let addr = SocketAddr::new(host.ip, host.peer_port);
@@ -71,8 +71,8 @@
     Ok(stop)
 }
 
-/// Senders whose datagrams can't be read, as processes of another version. Each is
-/// logged once: they send a hundred a second.
+/// Senders whose datagrams can't be decoded, such as processes of another version. Each is logged
+/// once, as they send up to 100 datagrams per second.
 #[derive(Debug, Default)]
 pub struct UnreadableSenders {
     /// Sorted.
@@ -80,7 +80,7 @@
 }
 
 impl UnreadableSenders {
-    /// Notes a sender; says whether it is to be logged.
+    /// Records that a sender's datagram couldn't be decoded; returns whether to log it.
     pub fn record_failure(&mut self, sender: IpAddr) -> bool {
         let Err(at) = self.senders.binary_search(&sender) else {
             return false;
@@ -92,7 +92,7 @@
         has_room
     }
 
-    /// Notes that a sender's datagram was read: it has another version now.
+    /// Records that a sender's datagram was decoded, so that later failures are logged again.
     pub fn record_success(&mut self, sender: IpAddr) {
         if let Ok(at) = self.senders.binary_search(&sender) {
             self.senders.remove(at);
@@ -100,12 +100,12 @@
     }
 }
 
-/// Hears datagrams until the process ends.
+/// Receives datagrams until the process ends.
 async fn receive(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     let mut unreadable = UnreadableSenders::default();
     loop {
-        // An error here means that an earlier datagram met a closed port.
+        // An error here means that an earlier datagram was sent to a closed port.
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
             continue;
         };
@@ -113,7 +113,7 @@
             if unreadable.record_failure(from.ip()) {
                 emit(&Event::Undecodable {
                     what: "datagram of a peer",
-                    why: format!("{len} bytes from {from}; told once for each peer"),
+                    why: format!("{len} bytes from {from}; logged once per peer"),
                 });
             }
             continue;
@@ -136,7 +136,7 @@
         let mut peers = gateway.peers();
         if peers.receive(from.ip(), status, &mut gateway.fleet(), now)
             && let Some(read) = read
-            // The ages that it tells are of when it was sent.
+            // The ages in a datagram are relative to when it was sent.
             && !gateway.may_have_waited(now)
         {
             gateway.confirm_registry(read);
@@ -144,16 +144,16 @@
     }
 }
 
-/// What was told last, and when.
+/// The last status that was sent.
 struct LastSent {
     at: Instant,
     status: PeerStatus,
     revision: u64,
-    /// Bytes of the longest datagram.
+    /// Size of the longest datagram in bytes.
     len: usize,
 }
 
-/// Tells the peers of this process's load until the process ends.
+/// Sends this process's status to peers until the process ends.
 async fn send_updates(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let start = fastrand::u32(..);
     let mut number = 0;
@@ -187,7 +187,7 @@
     }
 }
 
-/// What this process says for itself.
+/// The status of this process alone.
 fn own_status(gateway: &Gateway, placements_within: Duration) -> PeerStatus {
     let now = Instant::now();
     let settled = gateway.settled_registry();
@@ -213,8 +213,8 @@
     }
 }
 
-/// Whether two beats of this process tell peers the same. The age of the registry
-/// may wait for the next datagram.
+/// Whether two statuses of this process are the same for peers. A new age of the registry can wait
+/// for the next datagram.
 fn is_equivalent(a: &PeerStatus, b: &PeerStatus) -> bool {
     let tags =
         |status: &PeerStatus| -> Vec<u32> { status.changing.iter().map(|c| c.upstream).collect() };
@@ -223,11 +223,11 @@
         && a.registry == b.registry
         && a.placements == b.placements
         && tags(a) == tags(b)
-        // What was learned of crashes is told several times, so it doesn't wait.
+        // Crash reports are sent several times, so they are never considered known.
         && b.crashes.is_empty()
 }
 
-/// Sends each peer what it is to know; gives the length of the longest datagram.
+/// Sends each peer its datagram; returns the size of the longest one.
 fn send(gateway: &Gateway, socket: &UdpSocket, status: &PeerStatus) -> usize {
     let outgoing = gateway
         .peers()
@@ -237,7 +237,7 @@
     let mut encoded: Option<(Scope, Vec<u8>)> = None;
     for (ip, mut status) in outgoing {
         truncate_loads(&mut status);
-        // Directly all peers are told the same.
+        // In a full mesh all peers receive the same datagram.
         let is_encoded =
             matches!(&encoded, Some((Scope::Direct, _)) if status.scope == Scope::Direct);
         if !is_encoded {
@@ -245,15 +245,14 @@
         }
         let Some((_, buf)) = &encoded else { continue };
         longest = longest.max(buf.len());
-        // NB: a datagram that can't be sent now is as good as lost; the next
-        // one says everything anew.
+        // A datagram that can't be sent immediately is treated as lost, as the next one has the
+        // complete status.
         let _ = socket.try_send_to(buf, SocketAddr::new(ip, port));
     }
     longest
 }
 
-/// Leaves out the upstreams with the least to do, if there are too many for one
-/// datagram.
+/// Drops the least loaded upstreams if there are too many for one datagram.
 fn truncate_loads(status: &mut PeerStatus) {
     if status.loads.len() <= MAX_LOADS {
         return;
@@ -265,7 +264,7 @@
     status.loads.sort_unstable_by_key(|load| load.upstream);
 }
 
-/// Time until the next datagrams, of which the longest had a length lately.
+/// Interval until the next datagrams, given the size of the longest recent one.
 fn send_interval(gateway: &Gateway, len: usize) -> Duration {
     let peers = gateway.peers();
     match peers.is_direct() {
@@ -277,14 +276,13 @@
     }
 }
 
-/// Shortest time between two datagrams to each of so many peers that are told
-/// directly.
+/// Minimum interval between two datagrams to one peer in a full mesh.
 pub fn direct_send_interval(peers: usize) -> Duration {
     SEND_EVERY.max(SEND_EVERY_PER_PEER * peers as u32)
 }
 
-/// Time in which all live peers have heard what this process knows now: two
-/// datagrams for each step, as one may be lost, and the way.
+/// Time in which a change reaches all live peers: two datagrams per hop, as one may be lost. A full
+/// mesh adds `SEND_EVERY` for the transit.
 pub fn propagation_time(gateway: &Gateway) -> Duration {
     let peers = gateway.peers();
     match peers.is_direct() {
@@ -293,7 +291,7 @@
     }
 }
 
-/// Takes off what peers that fell silent said, and looks whom to report to.
+/// Removes the load of silent peers, and chooses the parent.
 fn expire(gateway: &Gateway) {
     let now = Instant::now();
     let own = gateway.location();
--- a/crates/gateway/src/peers/links.rs
+++ b/crates/gateway/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! Whom a process tells what, and whom it reports to.
+//! Chooses the parent of a process, the recipients of its datagrams and their contents.
 
 use super::message::sum_by_upstream;
 use super::{Location, Peer, PeerStatus, Peers, Scope, tree};
@@ -7,24 +7,24 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// For how long one that may be a root and doesn't answer is left alone, at first and
-/// at most: a restart takes a second or two.
+/// First and maximum time for which a possible root that doesn't answer isn't probed; a restart
+/// takes one or two seconds.
 const ROOT_PROBE_BACKOFF: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(30));
-/// Processes of another zone that are probed at once whether they are its root.
+/// Maximum number of processes per other zone that are probed at once for its root.
 const MAX_ROOT_PROBES: usize = 8;
-/// Pause between two questions whether those are there that a process may report to,
-/// while it reports to none.
+/// Interval between hellos to possible parents while this process has no parent.
 const HELLO_EVERY: Duration = Duration::from_millis(200);
-/// The same while it reports to another than usual.
+/// Same while it reports to a peer other than its preferred parent, and interval of hellos to
+/// children.
 const HELLO_PREFERRED_EVERY: Duration = Duration::from_secs(2);
-/// Processes that share a place behind the roots.
+/// Number of processes that share a rank behind the roots.
 const PROCESSES_PER_RANK: usize = 4;
-/// Time in which the first of those that are probed answer. A process that hears none of
-/// them takes itself for the root of its zone.
+/// Time in which possible parents answer a hello. A process that receives no answer becomes the
+/// root of its zone.
 const PARENT_SEARCH_TIME: Duration = Duration::from_millis(300);
 
 impl Peers {
-    /// Chooses anew whom this process reports to, among those that it hears.
+    /// Chooses the peer to which this process reports, among the live ones.
     pub fn choose_parent(&mut self, own: Location, fleet: &mut Fleet, now: Instant) {
         self.update_topology(now);
         let zone = self.parent_candidates(own);
@@ -44,7 +44,7 @@
         self.set_parent(parent, fleet);
     }
 
-    /// Places of the peers of the own zone that this process may report to, in order.
+    /// Indices of the peers of the own zone to which this process may report, in order of address.
     fn parent_candidates(&self, own: Location) -> Vec<usize> {
         let before = self.all.iter().take_while(|p| p.ip < own.ip).enumerate();
         let zone = before.filter(|(_, p)| p.zone == own.zone);
@@ -58,7 +58,7 @@
         self.parent = parent;
         self.revision += 1;
         if parent.is_some() {
-            // The former parent's word stands until the new one's comes.
+            // The former parent's load stays until the new parent's first datagram.
             return;
         }
         for peer in &mut self.all {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What each peer is to be told now, given what this process says for itself.
+    /// The datagram for each recipient, given the status of this process alone.
     pub fn outgoing(
         &mut self,
         own: Location,
@@ -114,8 +114,8 @@
         out
     }
 
-    /// Peers that are probed whether they are there: all that this process may report
-    /// to while it has none, else those that it would rather report to.
+    /// Peers that are sent a hello: all possible parents while this process has none, else those
+    /// that it prefers to its parent.
     fn hellos_to_parents(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
         let pause = match self.parent {
             Some(_) => HELLO_PREFERRED_EVERY,
@@ -139,9 +139,8 @@
         }
     }
 
-    /// Peers that usually report to this process and that it doesn't hear. One that
-    /// started while the store refuses it knows nobody, and serves nobody until a peer
-    /// tells it the configuration.
+    /// Usual children of this process that are silent. A process that starts while the store
+    /// refuses it knows no peer, and can't serve requests until a peer sends it the configuration.
     fn hellos_to_children(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
         let since = self.last_child_hello_at;
         let since = since.map(|at| now.saturating_duration_since(at));
@@ -161,7 +160,7 @@
         silent.map(|p| p.ip).collect()
     }
 
-    /// Peers that may be the roots of zones whose root hasn't been heard.
+    /// Peers that may be the roots of zones without a live known root.
     fn probe_roots(&mut self, own: Location, now: Instant) -> Vec<IpAddr> {
         let timeout = self.peer_timeout();
         let is_root = |p: &&Peer| p.scope() == Some(Scope::Across) && p.is_live(now, timeout);
@@ -250,14 +249,14 @@
         }
     }
 
-    /// The place of a process in its zone, whoever of it is alive.
+    /// The place of a process in its zone, counting live and silent processes.
     pub fn place_in_zone(&self, own: Location) -> u32 {
         self.parent_candidates(own).len() as u32
     }
 
-    /// The place of a process among those that may act for all, 0 for the first. One
-    /// that reports to another is never the first or the second; these are spread, so
-    /// that few act at once when those before them don't.
+    /// The rank of a process among those that may act for all, 0 for the first. In trees, a process
+    /// that isn't a root has rank 2 or more. These ranks are spread, so that few processes act at
+    /// once if those before them don't.
     pub fn rank(&self, own: Location, now: Instant) -> u32 {
         if !self.is_direct() && !self.is_root {
             let places = (self.all.len() / PROCESSES_PER_RANK).max(1) as u64;
@@ -276,8 +275,8 @@
         self.backoff_until.is_none_or(|until| now >= until)
     }
 
-    /// Notes that it is probed whether it is its zone's root. If it doesn't answer
-    /// within a timeout it is left alone for a while.
+    /// Records a probe whether it is the root of its zone. If it doesn't answer within `timeout`,
+    /// it isn't probed again until the backoff has passed.
     fn record_probe(&mut self, now: Instant, timeout: Duration) {
         let since = *self.root_probe_since.get_or_insert(now);
         if now.saturating_duration_since(since) < timeout {
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! Who the peers are: a row in the store for each process.
+//! Follows the list of processes in the store, which has a row for each process.
 
 use crate::follow::{Client, Dependency, held_for, wait_until_reader};
 use crate::peers::{startup_load, zone_hash};
@@ -8,24 +8,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the store may hold a read. Members change a few times a day, and a
-/// newcomer makes itself known by its datagrams, so this is as long as the store
-/// allows.
+/// Time for which the store may hold a read. Members change a few times a day, and a new process
+/// becomes known by its datagrams, so this is the maximum that the store allows.
 const HOLD_TIME: Duration = Duration::from_secs(30);
-/// Pause after a read that told of changes. When all processes start together,
-/// each row that is written would else wake each of them.
+/// Pause after a read with changes. Otherwise, when all processes start together, each written row
+/// would wake each process.
 const PAUSE_AFTER_CHANGE: Duration = Duration::from_secs(3);
-/// Pause for each known peer, as more of them start and stop in a larger fleet.
+/// Pause per known peer, as more processes start and stop in a larger fleet.
 const PAUSE_PER_PEER: Duration = Duration::from_millis(30);
-/// Time over which processes spread the writes of their rows at the first start of the
-/// system: the store accepts 200 writes of a table per second.
+/// Time over which processes spread the writes of their rows at the first start of the system, as
+/// the store accepts 200 writes per second to a table.
 const FIRST_START_WRITE_SPREAD: Duration = Duration::from_millis(3200);
 /// Time over which they then spread their first reads.
 const FIRST_START_READ_SPREAD: Duration = Duration::from_millis(800);
-/// Longest wait for an answer besides.
+/// Time allowed for the store's answer, in addition to the time for which it holds a read.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Writes this process's row, and follows the others' until the process ends.
+/// Writes this process's row, and follows the other rows until the process ends.
 pub async fn follow(gateway: Arc<Gateway>) {
     let mut client = Client::new(&gateway);
     let mut dependency = Dependency::new("store/processes");
@@ -41,8 +40,8 @@
         tokio::time::sleep_until(read_at.into()).await;
     }
     loop {
-        // Written after the first read, which tells whether it stands there already: a
-        // write wakes all that wait for changes.
+        // The row is written after the first read, which shows whether it already exists: a write
+        // wakes all readers that wait for changes.
         let is_read = matches!(from, Feed::Since(_));
         if is_read && !is_written {
             is_written = write_row(&gateway, &mut client, &mut dependency).await;
@@ -122,7 +121,7 @@
     }
 }
 
-/// Pause after a read that told of changes, by the number of known peers.
+/// Pause after a read with changes, by the number of known peers.
 fn pause_for(peers: usize) -> Duration {
     PAUSE_AFTER_CHANGE.max(PAUSE_PER_PEER * peers as u32)
 }
@@ -150,8 +149,8 @@
     }
 }
 
-/// Removes this process's row. If that fails, peers go on sending datagrams to
-/// nobody until a process on this host writes the row anew.
+/// Removes this process's row. If that fails, peers continue to send datagrams to this host until a
+/// process there writes the row again.
 pub async fn leave(gateway: &Arc<Gateway>) {
     let host = gateway.host();
     let mut client = Client::new(gateway);
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,23 +1,23 @@
-//! What processes tell each other in datagrams.
+//! Datagrams between the processes of the system.
 
 use serde::{Deserialize, Serialize};
 
-/// Whom a datagram speaks for, and to whom.
+/// The processes that a datagram covers, and its recipient.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "u8", try_from = "u8")]
 pub enum Scope {
-    /// For its sender alone, to each of few peers.
+    /// The sender alone; sent to each peer of a full mesh.
     Direct,
-    /// For its sender and those that report to it, to the peer that it reports to.
+    /// The sender and all processes below it in the tree; sent to its parent.
     Up,
-    /// For all others of the system, to a peer that reports to its sender.
+    /// All processes except the recipient's subtree; sent to a child.
     Down,
-    /// For its sender and those that report to it, to the root of another
+    /// The sender and all processes below it; sent to a root, or possible root, of another
     /// availability zone.
     Across,
-    /// For nobody: whether the peer is there, which it answers.
+    /// No process; asks for a `HelloReply`.
     Hello,
-    /// For nobody: the sender is there.
+    /// No process; shows that the sender is running.
     HelloReply,
 }
 
@@ -45,24 +45,24 @@
             3 => Ok(Self::Across),
             4 => Ok(Self::Hello),
             5 => Ok(Self::HelloReply),
-            other => Err(format!("no scope has the code {other}")),
+            other => Err(format!("unknown scope code {other}")),
         }
     }
 }
 
-/// What a process tells a peer. It says everything anew, so a lost one does no harm.
+/// Status that a process sends to a peer. It is complete each time, so lost datagrams do no harm.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Drawn at each start of a process, so that a new one's count is not taken
-    /// for an old one's.
+    /// Random number of the process's start, so that the datagrams of different starts aren't mixed
+    /// up.
     pub start: u32,
-    /// Counts the datagrams of a start; an older one that comes late is dropped.
+    /// Sequence number of the datagram since the start; late older datagrams are dropped.
     pub number: u64,
-    /// Whom it speaks for.
+    /// Processes that the status covers.
     pub scope: Scope,
     /// Hash of the sender's availability zone.
     pub zone: u32,
-    /// Processes that it speaks for.
+    /// Number of processes that the status covers.
     pub processes: u32,
     /// Version of the configuration in force at the sender.
     pub config: u64,
@@ -71,58 +71,58 @@
     pub members: u64,
     /// The store's version at the sender's last read of the registry.
     pub registry: u64,
-    /// Age of that read, in milliseconds. While nothing changes the version stays
-    /// the same, so the version alone doesn't tell a new read from an old one: 31
-    /// processes made 1,800 calls to the store in a minute without it, 700 with it.
+    /// Age of that read, in milliseconds. The version stays the same while nothing changes, so it
+    /// alone doesn't show a newer read: without the age 31 processes made 1,800 calls to the store
+    /// per minute, with it 700.
     pub registry_ms: u32,
-    /// The store's clock at that read, in milliseconds: tells a later read from the same one
-    /// that was told by another way.
+    /// The store's clock at that read, in milliseconds. Distinguishes a later read from the same
+    /// read received by another path.
     pub registry_at_ms: u64,
-    /// Hash of what the sender made of the registry; see
-    /// [`crate::fleet::Fleet::view`].
+    /// Hash of the registry at the sender; see [`crate::fleet::Fleet::view`].
     pub view: u64,
-    /// Load at each upstream where there is any, of those that it speaks for, sorted
-    /// by upstream.
+    /// Load of the covered processes at each upstream, without those that have none, sorted by
+    /// upstream.
     pub loads: Vec<Load>,
-    /// Engines that were ordered to change their stage and are away.
+    /// Engines that are unavailable during an ordered change of stage.
     pub changing: Vec<StageChange>,
-    /// Prompt parts that an engine was lately sent for the first time.
+    /// Prompt parts that were recently sent to an engine for the first time.
     pub placements: Vec<Placement>,
-    /// What was lately learned of work under which upstreams end.
+    /// Recent reports of requests that crash upstreams.
     pub crashes: Vec<CrashReport>,
 }
 
-/// What a process has learned of work under which upstreams end.
+/// Report that an upstream crashed while running a request, or that the request was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Hash of the work, its upper and lower half.
+    /// Fingerprint of the request, upper half first.
     pub work: [u64; 2],
-    /// Tag of the upstream that ended under it; none if it had a whole answer.
+    /// Tag of the crashed upstream; `None` if the request was answered completely.
     pub upstream: Option<u32>,
-    /// How long ago, in milliseconds.
+    /// Time since the event, in milliseconds.
     pub ago_ms: u32,
-    /// Of an end: whether it came under a trial. Processes of an earlier version don't say.
+    /// Whether the crash occurred in a trial of the request. Processes of earlier versions don't
+    /// send it.
     #[serde(default)]
     pub in_trial: bool,
 }
 
-/// An engine that is away for a change of its stage.
+/// An engine that is unavailable during a change of its stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageChange {
     /// Tag of the engine.
     pub upstream: u32,
-    /// For how much longer it is away, in milliseconds.
+    /// Remaining time of the change, in milliseconds.
     pub left_ms: u32,
 }
 
-/// A prompt part that an engine was sent.
+/// A prompt part that was sent to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
     /// Tag of the engine.
     pub upstream: u32,
     /// Id of the part.
     pub part: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
@@ -131,18 +131,18 @@
 pub struct Load {
     /// Tag of the upstream; see [`crate::fleet::Upstream::tag`].
     pub upstream: u32,
-    /// Requests whose first byte hasn't come yet.
+    /// Requests that wait for their first byte.
     pub waiting: u16,
-    /// Uncached tokens of those that wait.
+    /// Uncached prompt tokens of the waiting requests.
     pub tokens: u32,
-    /// Requests that run there.
+    /// Requests that run at the upstream.
     pub running: u16,
-    /// Of these, long answers.
+    /// Running requests with long answers.
     pub streams: u16,
 }
 
 impl Scope {
-    /// Whether it speaks for any process.
+    /// Whether it covers any process.
     pub fn has_load(self) -> bool {
         !matches!(self, Self::Hello | Self::HelloReply)
     }
@@ -157,7 +157,7 @@
     }
 }
 
-/// Adds up loads by upstream.
+/// Sums loads by upstream.
 pub fn sum_by_upstream<'a>(loads: impl Iterator<Item = &'a Load>) -> Vec<Load> {
     let mut all: Vec<Load> = loads.copied().collect();
     all.sort_unstable_by_key(|load| load.upstream);
--- a/crates/gateway/src/peers/startup_load.rs
+++ b/crates/gateway/src/peers/startup_load.rs
@@ -1,9 +1,8 @@
-//! Loading of the initial state from a peer instead of the store.
+//! Loads the initial state from a peer instead of the store.
 //!
-//! In a large fleet this saves the store a full read of each table per start. Processes that
-//! start together find no peer with a complete snapshot, so each asks for a random time before
-//! it falls back to the store: the first ones read the store, and the others load their
-//! snapshots.
+//! In a large fleet this saves the store a full read of each table per start. Processes that start
+//! together find no peer with a complete snapshot, so each asks for a random time before it falls
+//! back to the store: the first ones read the store, and the others load their snapshots.
 
 use super::catch_up::{self, RegistryChanges};
 use super::{CrashReport, Member};
@@ -17,19 +16,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Longest wait of the readers of other tables for the first page of the processes.
+/// Maximum time for which readers of other tables wait for the first page of the processes.
 const FIRST_PAGE_TIMEOUT: Duration = Duration::from_millis(100);
-/// The same at the first start of the system, when there is no traffic yet and all processes
-/// write their rows first.
+/// Same at the first start of the system, when there is no traffic yet and all processes write
+/// their rows first.
 const FIRST_START_PAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Upper bound of the random time for which peers are asked.
+/// Maximum of the random time for which peers are asked.
 const MAX_ASK_TIME: Duration = Duration::from_millis(800);
-/// The same at the first start of the system.
+/// Same at the first start of the system.
 const FIRST_START_MAX_ASK_TIME: Duration = Duration::from_secs(4);
-/// Pause before the next attempt.
+/// Pause between attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Stage of the loading from peers.
+/// Stage of loading from peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     /// The first page of the processes hasn't been read.
@@ -40,7 +39,7 @@
     Finished,
 }
 
-/// Progress of the loading from peers, shared with the readers of the store.
+/// Progress of loading from peers, shared with the readers of the store.
 #[derive(Debug)]
 pub struct StartupLoad {
     stage: watch::Sender<Stage>,
--- a/crates/gateway/src/peers/tree.rs
+++ b/crates/gateway/src/peers/tree.rs
@@ -1,27 +1,26 @@
-//! Who reports to whom among many processes.
+//! Tree of the processes of an availability zone.
 //!
-//! The processes of an availability zone stand in the order of their addresses, the
-//! same for all that know the same, and form a tree in that order: each reports to
-//! one before it, so there are no circles. The first of each zone, its root, tells
-//! the other roots.
+//! The processes are sorted by address, which gives the same order on all processes that know the
+//! same peers, and form a tree in that order. Each reports to one before it, so there are no
+//! cycles. The first process of each zone is its root and exchanges datagrams with the other roots.
 
-/// Processes that report to one. With four, the busiest process sends and takes five
-/// times what one without any does, and fifty processes are three levels deep.
+/// Number of children of a process. With four, the busiest process sends and receives five times as
+/// much as a leaf, and fifty processes have three levels.
 const FANOUT: usize = 4;
 
-/// Positions on the way from one to the root, the nearest first.
+/// Positions of the ancestors of a process, the nearest first.
 pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
     let next = |at: &usize| Some(at.checked_sub(1)? / FANOUT);
     std::iter::successors(next(&position), next)
 }
 
-/// Positions of those that usually report to one.
+/// Positions of the usual children of a process.
 pub fn children(position: usize) -> std::ops::RangeInclusive<usize> {
     position * FANOUT + 1..=position * FANOUT + FANOUT
 }
 
-/// The process that one at a position reports to, of those that are alive: the
-/// nearest on the way to the root, or else the first of all. None for a root.
+/// Position of the parent of a process: its nearest live ancestor, or else the first live process
+/// before it. `None` for a root.
 pub fn parent(position: usize, is_live: impl Fn(usize) -> bool) -> Option<usize> {
     let preferred = ancestors(position).find(|at| is_live(*at));
     preferred.or_else(|| (0..position).find(|at| is_live(*at)))
--- a/crates/gateway/src/quota/exchange.rs
+++ b/crates/gateway/src/quota/exchange.rs
@@ -18,11 +18,11 @@
 /// such a host.
 const MIN_PREFERRED_CPU_SHARE: f64 = 0.25;
 const MAX_PREFERRED_PLACE: u32 = 4;
-/// Largest datagram.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 4 << 10;
 /// Interval between checks whether the list of peers has been read from the store.
 const MEMBERSHIP_CHECK_EVERY: Duration = Duration::from_millis(20);
-/// Time without an answer after which a grantor of another zone is searched again.
+/// Time without an answer after which another grantor is searched for in a zone.
 const GRANTOR_TTL: Duration = Duration::from_secs(2);
 /// Number of times the release of shares is sent, as datagrams may be lost.
 const RELEASE_SENDS: usize = 2;
@@ -74,12 +74,12 @@
 ) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error here means that an earlier datagram met a closed port.
+        // An error here means that an earlier datagram was sent to a closed port.
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
             continue;
         };
         let Some(message) = wire::decode::<Message>(&buf[..len]) else {
-            // Peers of another version are logged by the load exchange.
+            // Peers of another version are logged by the exchange of load.
             continue;
         };
         let from = from.ip();
