--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,10 +1,11 @@
-//! Requests under which upstreams crash: who saw what, who is told, what is sent.
+//! Detects requests that crash upstreams, and shares the reports between hosts.
 //!
-//! A connection that breaks under a request tells that its upstream may have ended
-//! ([`broken`]). What is counted and when work is held back is decided in
-//! [`resilience::crashes`]; here it is fed and asked: by this host's own requests
-//! ([`admit`]), by the words of peers, and by rows in the store ([`rows`]), which reach hosts
-//! that hear no peer and outlast all processes.
+//! A connection that breaks during a request shows that the upstream may have crashed ([`broken`]),
+//! as does a request without an answer whose upstream is gone ([`unanswered`]).
+//! [`resilience::crashes`] counts crashes per request fingerprint and decides when a request is
+//! held back. This module passes it the reports of this host, of peers and of rows in the store,
+//! and applies its decisions ([`admit`]). The rows ([`rows`]) reach hosts without a live peer and
+//! survive restarts of all processes.
 
 mod admit;
 pub mod broken;
@@ -12,10 +13,10 @@
 pub mod rows;
 pub mod unanswered;
 
-pub use admit::{Admission, admit, end_trial};
+pub use admit::{Admission, admit, return_unused_trial};
 pub use fingerprint::fingerprint;
 
-use crate::peers::{Beat, CrashWord, Scope};
+use crate::peers::{CrashReport, PeerStatus, Scope};
 use crate::serve::Call;
 use crate::state::Gateway;
 use observe::{Event, emit};
@@ -25,17 +26,17 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// What this process knows of work under which upstreams end.
+/// Requests that may crash upstreams, as known to this process.
 #[derive(Debug, Default)]
-pub struct Shared {
-    known: Mutex<CrashTracker>,
+pub struct SharedCrashes {
+    crashes: Mutex<CrashTracker>,
     clock: Mutex<Option<StoreClock>>,
-    /// Given when there may be rows to write or to remove.
-    to_write: Notify,
-    room: unanswered::Room,
+    /// Notified when there may be rows to write or remove.
+    write_pending: Notify,
+    watch_permits: unanswered::WatchPermits,
 }
 
-/// The store's steady clock, as it was at a read.
+/// Reading of the store's monotonic clock.
 #[derive(Debug, Clone, Copy)]
 struct StoreClock {
     now_ms: u64,
@@ -43,52 +44,52 @@
 }
 
 impl StoreClock {
-    /// What it shows when this host's clock shows a time.
-    fn at_ms(self, at: Instant) -> u64 {
+    /// Converts a time of this host to the store's clock.
+    fn to_store_ms(self, at: Instant) -> u64 {
         let after = at.saturating_duration_since(self.read_at).as_millis() as u64;
         let before = self.read_at.saturating_duration_since(at).as_millis() as u64;
         self.now_ms.saturating_add(after).saturating_sub(before)
     }
 
-    /// What this host's clock showed at a time of it; none if that was before it started.
-    fn instant(self, at_ms: u64) -> Option<Instant> {
+    /// Converts a time of the store's clock; `None` if it is before the start of this host's clock.
+    fn to_instant(self, at_ms: u64) -> Option<Instant> {
         let ago = Duration::from_millis(self.now_ms.saturating_sub(at_ms));
         self.read_at.checked_sub(ago)
     }
 }
 
-impl Shared {
-    /// What is known. Never held across an await.
+impl SharedCrashes {
+    /// Locks the known crashes. Must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, CrashTracker> {
-        self.known.lock().expect("no panic while locked")
+        self.crashes.lock().expect("no panic while locked")
     }
 
     fn clock(&self) -> Option<StoreClock> {
         *self.clock.lock().expect("no panic while locked")
     }
 
-    /// Records the current time of the store's clock.
+    /// Sets the current time of the store's clock.
     pub fn set_clock(&self, now_ms: u64) {
         let read_at = Instant::now();
         *self.clock.lock().expect("no panic while locked") = Some(StoreClock { now_ms, read_at });
     }
 }
 
-/// Takes a word, logs what it changes, and has it written where the store is to keep it.
-fn take(gateway: &Gateway, word: Observation, source: Source, tells_on: bool) -> Change {
+/// Applies a report, logs the resulting change, and wakes the writer of rows.
+fn apply(gateway: &Gateway, word: Observation, source: Source, forward: bool) -> Change {
     let change = gateway
         .crashes
         .lock()
-        .apply(word, source, tells_on, Instant::now());
-    tell(word.fingerprint(), change, source);
+        .apply(word, source, forward, Instant::now());
+    log_change(word.fingerprint(), change, source);
     if change != Change::Unchanged {
-        gateway.crashes.to_write.notify_one();
+        gateway.crashes.write_pending.notify_one();
     }
     change
 }
 
-/// Logs what has become of work.
-fn tell(work: Fingerprint, change: Change, source: Source) {
+/// Logs that a request is held back or released.
+fn log_change(work: Fingerprint, change: Change, source: Source) {
     let work = work.to_string();
     let source = source_name(source);
     match change {
@@ -106,8 +107,8 @@
     }
 }
 
-/// Notes that a request has had its whole answer.
-pub fn answered(call: &Call) {
+/// Records that a request was answered completely.
+pub fn mark_answered(call: &Call) {
     let gateway = &call.gateway;
     if gateway.crashes.lock().is_empty() {
         return;
@@ -116,27 +117,27 @@
         fingerprint: call.fingerprint(),
         at: Instant::now(),
     };
-    take(gateway, word, Source::Local, true);
+    apply(gateway, word, Source::Local, true);
 }
 
-/// Takes what a peer has learned. Where processes form trees it is told on.
-pub fn hear(gateway: &Gateway, beat: &Beat, now: Instant) {
-    for word in &beat.crashes {
-        // One from before this host's clock began is too old to matter.
-        if let Some(word) = from_peer(word, now) {
-            take(gateway, word, Source::Peer, beat.scope != Scope::Direct);
+/// Applies the crash reports in a peer's datagram. In a tree they are forwarded.
+pub fn receive(gateway: &Gateway, status: &PeerStatus, now: Instant) {
+    for report in &status.crashes {
+        // A report from before the start of this host's clock is too old to matter.
+        if let Some(word) = from_report(report, now) {
+            apply(gateway, word, Source::Peer, status.scope != Scope::Direct);
         }
     }
 }
 
-/// What peers are to be told now.
-pub fn news(gateway: &Gateway, now: Instant) -> Vec<CrashWord> {
+/// Crash reports to include in the next datagrams.
+pub fn pending_reports(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
     let words = gateway.crashes.lock().due_observations(now);
-    words.iter().map(|word| to_peer(word, now)).collect()
+    words.iter().map(|word| to_report(word, now)).collect()
 }
 
-/// Upstream ends that are recorded in the store, for a peer that is starting.
-pub fn recorded(gateway: &Gateway, now: Instant) -> Vec<CrashWord> {
+/// Crashes that are recorded in the store, for a peer that is starting.
+pub fn recorded_ends(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
     let recorded = gateway.crashes.lock().recorded();
     let words = recorded.iter().map(|r| Observation::Crash {
         fingerprint: r.fingerprint,
@@ -144,19 +145,19 @@
         at: r.at,
         in_trial: r.in_trial,
     });
-    words.map(|word| to_peer(&word, now)).collect()
+    words.map(|word| to_report(&word, now)).collect()
 }
 
-/// Applies the recorded upstream ends received from a peer.
-pub fn take_recorded(gateway: &Gateway, words: &[CrashWord], now: Instant) {
-    for word in words {
-        if let Some(word) = from_peer(word, now) {
-            take(gateway, word, Source::Peer, false);
+/// Applies the recorded crashes received from a peer.
+pub fn apply_recorded(gateway: &Gateway, reports: &[CrashReport], now: Instant) {
+    for report in reports {
+        if let Some(word) = from_report(report, now) {
+            apply(gateway, word, Source::Peer, false);
         }
     }
 }
 
-fn to_peer(word: &Observation, now: Instant) -> CrashWord {
+fn to_report(word: &Observation, now: Instant) -> CrashReport {
     let (at, upstream, in_trial) = match *word {
         Observation::Crash {
             upstream,
@@ -168,7 +169,7 @@
     };
     let Fingerprint(work) = word.fingerprint();
     let ago = now.saturating_duration_since(at).as_millis();
-    CrashWord {
+    CrashReport {
         work: [(work >> 64) as u64, work as u64],
         upstream,
         ago_ms: u32::try_from(ago).unwrap_or(u32::MAX),
@@ -176,16 +177,16 @@
     }
 }
 
-fn from_peer(word: &CrashWord, now: Instant) -> Option<Observation> {
-    let [high, low] = word.work.map(u128::from);
+fn from_report(report: &CrashReport, now: Instant) -> Option<Observation> {
+    let [high, low] = report.work.map(u128::from);
     let work = Fingerprint(high << 64 | low);
-    let at = now.checked_sub(Duration::from_millis(word.ago_ms.into()))?;
-    Some(match word.upstream {
+    let at = now.checked_sub(Duration::from_millis(report.ago_ms.into()))?;
+    Some(match report.upstream {
         Some(upstream) => Observation::Crash {
             fingerprint: work,
             upstream,
             at,
-            in_trial: word.in_trial,
+            in_trial: report.in_trial,
         },
         None => Observation::Answer {
             fingerprint: work,
--- a/crates/gateway/src/crashes/admit.rs
+++ b/crates/gateway/src/crashes/admit.rs
@@ -1,5 +1,5 @@
-//! Whether a request may be sent to an upstream, for each send anew: its key must still be
-//! in force, and upstreams must not end by it.
+//! Decides before each send to an upstream whether the request may be sent: its API key must still
+//! be valid, and the request must not be known to crash upstreams.
 
 use super::rows;
 use crate::account::Account;
@@ -12,12 +12,12 @@
 /// How a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// As any other.
-    Usual,
-    /// Where the least else runs, as an upstream may end by it.
-    Alone,
-    /// Not at all.
-    Held(Reason),
+    /// To any upstream.
+    Normal,
+    /// To the least loaded upstream, as the request may crash it.
+    Quarantined,
+    /// Not at all, for the given reason.
+    Rejected(Reason),
 }
 
 impl From<Confidence> for Reason {
@@ -29,19 +29,19 @@
     }
 }
 
-/// Decides how a request may be sent now. Asked before each send: first ones, retries, the
-/// generation of a prompt that was read, the rest of a broken stream.
+/// Decides how a request may be sent now. Called before each send: the first one, retries,
+/// generation after a prefill, and resumption of a broken stream.
 pub async fn admit(call: &Call, account: &mut Account) -> Admission {
     if let Err(why) = call.check_key(account) {
-        return Admission::Held(why);
+        return Admission::Rejected(why);
     }
     let crashes = &call.gateway.crashes;
     if crashes.lock().is_empty() {
-        return Admission::Usual;
+        return Admission::Normal;
     }
     if account.trial.is_some() && !account.may_have_run {
-        // The upstream that was chosen for it took no connection.
-        return Admission::Alone;
+        // The trial wasn't used, as the upstream chosen for it accepted no connection.
+        return Admission::Quarantined;
     }
     let work = call.fingerprint();
     let now = Instant::now();
@@ -57,23 +57,23 @@
         account.work = Some(work);
     }
     match verdict {
-        Verdict::Allowed => Admission::Usual,
-        Verdict::Suspected => Admission::Alone,
-        Verdict::Blocked(proof) => Admission::Held(proof.into()),
+        Verdict::Allowed => Admission::Normal,
+        Verdict::Suspected => Admission::Quarantined,
+        Verdict::Blocked(proof) => Admission::Rejected(proof.into()),
         Verdict::Trial(number, proof) => {
             match rows::take_trial(&call.gateway, work, number).await {
                 true => {
                     account.trial = Some(number);
-                    Admission::Alone
+                    Admission::Quarantined
                 }
-                false => Admission::Held(proof.into()),
+                false => Admission::Rejected(proof.into()),
             }
         }
     }
 }
 
-/// Gives a trial back that reached no upstream.
-pub fn end_trial(call: &Call, account: &Account) {
+/// Returns a trial that reached no upstream.
+pub fn return_unused_trial(call: &Call, account: &Account) {
     let Some(number) = account.trial.filter(|_| !account.may_have_run) else {
         return;
     };
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -1,4 +1,4 @@
-//! Connections that break while a request is on them: has their upstream ended?
+//! Checks whether an upstream crashed when a connection to it breaks during a request.
 
 use crate::account::{Account, SentTo};
 use crate::fleet::UpstreamKey;
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long an upstream is given to show that it lives. A process that ends closes all its
-/// connections at once, and a busy host needs some ten milliseconds to see that they are
-/// closed; one that lives answers other requests meanwhile.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(100);
+/// Time in which an upstream can show that it is running. A process that ends closes all its
+/// connections at once, and a busy host takes about ten milliseconds to notice; a running upstream
+/// answers other requests in this time.
+const LIVENESS_WINDOW: Duration = Duration::from_millis(100);
 
 /// A request whose connection to an upstream broke.
-struct Broken {
+struct BrokenConnection {
     gateway: Arc<Gateway>,
     request: String,
     work: Fingerprint,
@@ -27,7 +27,7 @@
     at: Instant,
 }
 
-/// Notes that the connection broke on which an upstream ran a request.
+/// Starts a check of the upstream whose connection broke during a request.
 pub fn connection_broke(call: &Call, account: &mut Account) {
     let (Some(sent), Some(instance)) = (account.tried, account.upstream.clone()) else {
         return;
@@ -35,7 +35,7 @@
     let SentTo { key, tag } = sent;
     let work = call.fingerprint();
     account.work = Some(work);
-    let broken = Broken {
+    let broken = BrokenConnection {
         gateway: call.gateway.clone(),
         request: account.id.clone(),
         work,
@@ -45,12 +45,12 @@
         in_trial: account.trial.is_some(),
         at: Instant::now(),
     };
-    tokio::spawn(broken.judge());
+    tokio::spawn(broken.report());
 }
 
-impl Broken {
-    async fn judge(self) {
-        tokio::time::sleep(SIGN_OF_LIFE).await;
+impl BrokenConnection {
+    async fn report(self) {
+        tokio::time::sleep(LIVENESS_WINDOW).await;
         let has_ended = self.has_ended();
         if has_ended {
             let word = Observation::Crash {
@@ -59,7 +59,7 @@
                 at: self.at,
                 in_trial: self.in_trial,
             };
-            super::take(&self.gateway, word, Source::Local, true);
+            super::apply(&self.gateway, word, Source::Local, true);
         }
         emit(&Event::ConnectionBroke {
             request: &self.request,
@@ -71,7 +71,8 @@
         });
     }
 
-    /// Whether the upstream's process has ended, as far as this one can tell.
+    /// Whether the upstream's process seems to have ended: it is gone, or it has neither answered
+    /// since nor has an open connection.
     fn has_ended(&self) -> bool {
         let fleet = self.gateway.fleet();
         let Some(upstream) = fleet.get(self.key) else {
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -1,9 +1,10 @@
-//! Ends and trials in the store.
+//! Crashes and trials in the store.
 //!
-//! What has come twice is written, so that it reaches hosts that hear no peer and outlasts
-//! all processes; what was answered since, or is too old, is removed.
+//! A request's crashes are written from the second one on, so that they reach hosts without a live
+//! peer and survive restarts of all processes. Rows of requests that were answered later, and old
+//! rows, are removed.
 
-use super::{Shared, StoreClock, take, tell};
+use super::{SharedCrashes, StoreClock, apply, log_change};
 use crate::follow::{Client, Dependency, held_for, wait_until_reader};
 use crate::state::Gateway;
 use observe::{Event, emit};
@@ -16,38 +17,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the store may hold a read: as long as it allows, as rows are rare. A connection
-/// that has gone silent shows only after that.
-const WAIT: Duration = Duration::from_secs(30);
-/// The same for a host that hears no peer, to which nobody else tells anything.
-const WAIT_ALONE: Duration = Duration::from_secs(2);
-/// Longest wait for an answer besides, and for a write.
+/// Time for which the store may hold a read: the maximum that it allows, as rows are rare. A dead
+/// connection is noticed only after this time.
+const HOLD_TIME: Duration = Duration::from_secs(30);
+/// Same for a host without a live peer, which learns of crashes only from the store.
+const HOLD_TIME_ISOLATED: Duration = Duration::from_secs(2);
+/// Time allowed for the store's answer, in addition to the time for which it holds a read.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait of a request for its trial: its client waits meanwhile.
+/// Timeout for taking a trial, as a request and its client wait for it.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest wait after the start before the first read, of which chance draws a part: hosts
-/// that start together read other tables first. With it what is kept is known within the
-/// 3 s in which bounds don't count yet.
-const FIRST_READ_WITHIN: Duration = Duration::from_millis(1200);
-/// Pause after a read that told of changes, and between two writes: rows come several at
-/// once.
+/// Maximum of the random delay before the first read, as hosts that start together read other
+/// tables first. It is short enough for the rows to be known within the first 3 s after a start, in
+/// which bounds don't apply yet.
+const FIRST_READ_SPREAD: Duration = Duration::from_millis(1200);
+/// Pause after a read with changes and between two writes, as rows are written several at a time.
 const PAUSE: Duration = Duration::from_millis(250);
-/// How long the host that saw an end has to write it. Then the first of the processes do,
-/// as it may be gone: what two or three hosts saw each would else be lost with one of them.
-const LEFT_TO_OWNER: Duration = Duration::from_millis(700);
-const WRITERS: u32 = 2;
-/// Rows that one call writes or removes.
-const MAX_AT_ONCE: usize = 32;
-/// Ends whose rows one call removes, with those of their work's trials: the store takes no
-/// more entries in one.
-const MAX_ENDS_AT_ONCE: usize = MAX_ENTRIES / (1 + STORED_TRIALS);
-/// Rows from which on only ends of work that is held back are written: a table of them is
-/// read in two pages.
-const MAX_ROWS: usize = 256;
+/// Time in which the host that saw a crash writes its row. After that the processes of the lowest
+/// ranks write it, as that host may be gone: two or three crashes seen by different hosts would
+/// otherwise be lost with one of these hosts.
+const TAKEOVER_AFTER: Duration = Duration::from_millis(700);
+const TAKEOVER_WRITERS: u32 = 2;
+/// Maximum number of rows written or removed per call.
+const MAX_ROWS_PER_CALL: usize = 32;
+/// Maximum number of crashes whose rows, with those of the request's trials, fit into one removal.
+const MAX_ENDS_PER_CALL: usize = MAX_ENTRIES / (1 + STORED_TRIALS);
+/// Number of rows from which only crashes of held back requests are written; a table of this size
+/// is read in two pages.
+const MAX_SUSPECT_ROWS: usize = 256;
 
-/// Follows the rows until the process ends.
+/// Follows the rows in the store until the process ends.
 pub async fn follow(gateway: Arc<Gateway>) {
-    tokio::time::sleep(FIRST_READ_WITHIN.mul_f64(fastrand::f64())).await;
+    tokio::time::sleep(FIRST_READ_SPREAD.mul_f64(fastrand::f64())).await;
     gateway
         .startup_load
         .finished(gateway.host().is_first_start)
@@ -55,17 +55,17 @@
     let mut client = Client::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     let mut from = Feed::Start;
-    // Pages of the table while it is read in full.
+    // Pages of a full read of the table.
     let mut pages = Vec::new();
     loop {
-        let is_whole = !matches!(from, Feed::Since(_));
-        let is_initial = is_whole && !gateway.startup_load.has_loaded();
+        let is_full_read = !matches!(from, Feed::Since(_));
+        let is_initial = is_full_read && !gateway.startup_load.has_loaded();
         wait_until_reader(&gateway, is_initial).await;
-        let longest = match hears_nobody(&gateway) {
-            true => WAIT_ALONE,
-            false => WAIT,
+        let hold_time = match has_no_live_peer(&gateway) {
+            true => HOLD_TIME_ISOLATED,
+            false => HOLD_TIME,
         };
-        let wait = held_for(&from, longest);
+        let wait = held_for(&from, hold_time);
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().crashes(&from, wait, timeout).await {
             Ok(change) => {
@@ -75,8 +75,8 @@
                     emit(&Event::Undecodable { what, why });
                 }
                 gateway.crashes.set_clock(change.now_ms);
-                // Rows that came due before the first read wait for its clock.
-                gateway.crashes.to_write.notify_one();
+                // Rows that were due before the first read need the store's clock.
+                gateway.crashes.write_pending.notify_one();
                 pages.extend(change.items);
                 from = change.next;
                 if matches!(from, Feed::Rest { .. }) {
@@ -84,9 +84,9 @@
                 }
                 let changes = std::mem::take(&mut pages);
                 let has_changes = !changes.is_empty();
-                merge(&gateway, &changes, is_whole);
+                merge(&gateway, &changes, is_full_read);
                 if has_changes {
-                    remove_old(&gateway, &mut client, &changes).await;
+                    remove_expired(&gateway, &mut client, &changes).await;
                     tokio::time::sleep(PAUSE).await;
                 }
             }
@@ -102,32 +102,32 @@
     }
 }
 
-/// Takes what a read tells. A whole one also tells by absence.
-fn merge(gateway: &Gateway, changes: &[CrashChange], is_whole: bool) {
-    if is_whole {
-        let is_there = |record: &CrashRecord| {
+/// Applies the changes of a read. In a full read, recorded crashes without a row are forgotten.
+fn merge(gateway: &Gateway, changes: &[CrashChange], is_full_read: bool) {
+    if is_full_read {
+        let is_present = |record: &CrashRecord| {
             let key = end_key(record);
             changes
                 .iter()
                 .any(|c| matches!(c, CrashChange::Written(row) if row.key == key))
         };
         let recorded = gateway.crashes.lock().recorded();
-        for record in recorded.iter().filter(|record| !is_there(record)) {
-            forget(gateway, record.fingerprint, record.upstream);
+        for record in recorded.iter().filter(|record| !is_present(record)) {
+            forget_end(gateway, record.fingerprint, record.upstream);
         }
     }
     for change in changes {
         match change {
-            CrashChange::Written(row) => learn(gateway, row),
-            CrashChange::Removed(key) => unlearn(gateway, *key),
+            CrashChange::Written(row) => apply_written(gateway, row),
+            CrashChange::Removed(key) => apply_removed(gateway, *key),
         }
     }
 }
 
-fn unlearn(gateway: &Gateway, key: CrashKey) {
+fn apply_removed(gateway: &Gateway, key: CrashKey) {
     let work = Fingerprint(key.work);
     match key.mark {
-        CrashMark::End(upstream) => forget(gateway, work, upstream),
+        CrashMark::End(upstream) => forget_end(gateway, work, upstream),
         CrashMark::Trial(number) => {
             let mut crashes = gateway.crashes.lock();
             crashes.trial_returned(work, number as usize);
@@ -135,23 +135,23 @@
     }
 }
 
-fn forget(gateway: &Gateway, work: Fingerprint, upstream: u32) {
+fn forget_end(gateway: &Gateway, work: Fingerprint, upstream: u32) {
     let change = gateway.crashes.lock().remove_crash(work, upstream);
-    tell(work, change, Source::Store);
+    log_change(work, change, Source::Store);
 }
 
-fn learn(gateway: &Gateway, row: &CrashRow) {
+fn apply_written(gateway: &Gateway, row: &CrashRow) {
     let Some(clock) = gateway.crashes.clock() else {
         return;
     };
-    if is_old(row, clock) {
+    if is_expired(row, clock) {
         return;
     }
     let work = Fingerprint(row.key.work);
-    // A host that has started since can't name a time before its clock began; that the row
-    // is still to be kept is all that matters then.
+    // On a host that has started since, the time may be before the start of its clock. Only the
+    // fact that the row hasn't expired matters then.
     let now = Instant::now();
-    let at = clock.instant(row.at_ms).unwrap_or(now);
+    let at = clock.to_instant(row.at_ms).unwrap_or(now);
     match row.key.mark {
         CrashMark::End(upstream) => {
             let word = Observation::Crash {
@@ -160,7 +160,7 @@
                 at,
                 in_trial: row.in_trial,
             };
-            take(gateway, word, Source::Store, false);
+            apply(gateway, word, Source::Store, false);
         }
         CrashMark::Trial(number) => {
             let number = number as usize;
@@ -169,13 +169,13 @@
     }
 }
 
-fn is_old(row: &CrashRow, clock: StoreClock) -> bool {
-    let age_ms = clock.at_ms(Instant::now()).saturating_sub(row.at_ms);
+fn is_expired(row: &CrashRow, clock: StoreClock) -> bool {
+    let age_ms = clock.to_store_ms(Instant::now()).saturating_sub(row.at_ms);
     Duration::from_millis(age_ms) >= RETENTION
 }
 
-/// Removes rows that are too old. The first of the processes does it for all.
-async fn remove_old(gateway: &Gateway, client: &mut Client, changes: &[CrashChange]) {
+/// Removes expired rows. Only the process of rank 0 does so.
+async fn remove_expired(gateway: &Gateway, client: &mut Client, changes: &[CrashChange]) {
     let Some(clock) = gateway.crashes.clock().filter(|_| gateway.rank() == 0) else {
         return;
     };
@@ -183,24 +183,28 @@
         CrashChange::Written(row) => Some(row),
         CrashChange::Removed(_) => None,
     });
-    let old = rows.filter(|row| is_old(row, clock)).map(|row| row.key);
-    let old: Vec<CrashKey> = old.take(MAX_AT_ONCE).collect();
-    if old.is_empty() {
+    let expired = rows.filter(|row| is_expired(row, clock)).map(|row| row.key);
+    let expired: Vec<CrashKey> = expired.take(MAX_ROWS_PER_CALL).collect();
+    if expired.is_empty() {
         return;
     }
-    if let Err(e) = client.store().remove_crashes(&old, ANSWER_TIMEOUT).await {
-        not_written(old.len(), &e);
+    if let Err(e) = client
+        .store()
+        .remove_crashes(&expired, ANSWER_TIMEOUT)
+        .await
+    {
+        log_write_failure(expired.len(), &e);
     }
 }
 
-/// Writes what the store is to keep, and removes what it needn't, until the process ends.
+/// Writes rows of new crashes and removes rows that are no longer needed, until the process ends.
 pub async fn write(gateway: Arc<Gateway>) {
     let mut client = Client::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     loop {
-        // Looked at from time to time too, for ends that others should have written.
-        let changed = gateway.crashes.to_write.notified();
-        let _ = tokio::time::timeout(LEFT_TO_OWNER, changed).await;
+        // Also checks periodically for crashes that other hosts should have written.
+        let changed = gateway.crashes.write_pending.notified();
+        let _ = tokio::time::timeout(TAKEOVER_AFTER, changed).await;
         if gateway.crashes.lock().is_empty() {
             continue;
         }
@@ -220,10 +224,10 @@
     }
 }
 
-/// Writes or removes some rows; says whether there were any.
+/// Writes or removes a batch of rows; returns whether there were any.
 async fn write_once(gateway: &Gateway, client: &mut Client) -> Result<bool, StoreError> {
     let Some(clock) = gateway.crashes.clock() else {
-        // Nothing was read yet; the first read has it tried again.
+        // The first read of the table notifies the writer again.
         return Ok(false);
     };
     let ends = to_record(gateway);
@@ -232,7 +236,7 @@
         let row = |record: &CrashRecord| CrashRow {
             key: end_key(record),
             host: host.clone(),
-            at_ms: clock.at_ms(record.at),
+            at_ms: clock.to_store_ms(record.at),
             in_trial: record.in_trial,
         };
         let rows: Vec<CrashRow> = ends.iter().map(row).collect();
@@ -244,53 +248,52 @@
     if answered.is_empty() {
         return Ok(false);
     }
-    let keys: Vec<CrashKey> = answered.iter().flat_map(keys_of).collect();
+    let keys: Vec<CrashKey> = answered.iter().flat_map(end_and_trial_keys).collect();
     client.store().remove_crashes(&keys, ANSWER_TIMEOUT).await?;
     set_recorded(&gateway.crashes, &answered, false);
     Ok(true)
 }
 
-fn set_recorded(crashes: &Shared, records: &[CrashRecord], is_recorded: bool) {
+fn set_recorded(crashes: &SharedCrashes, records: &[CrashRecord], is_recorded: bool) {
     let mut crashes = crashes.lock();
     for record in records {
         crashes.set_recorded(record, is_recorded);
     }
 }
 
-/// Whether this host hears no peer, though there are some: it has only the store to tell
-/// them, and to hear of them.
-fn hears_nobody(gateway: &Gateway) -> bool {
+/// Whether there are peers but none is live. Crash reports can then be exchanged only by the store.
+fn has_no_live_peer(gateway: &Gateway) -> bool {
     let peers = gateway.peers();
     !peers.is_empty() && peers.live(Instant::now()).next().is_none()
 }
 
-/// The ends that are to be written now: the first end of any work by a host that hears no
-/// peer.
+/// Crashes to write now. A host without a live peer writes from the first crash of a request.
 fn to_record(gateway: &Gateway) -> Vec<CrashRecord> {
-    let (hears_nobody, others) = (hears_nobody(gateway), left_by_others(gateway));
+    let (has_no_live_peer, takeover_before) = (has_no_live_peer(gateway), takeover_before(gateway));
     let crashes = gateway.crashes.lock();
-    let from_ends = match crashes.recorded().len() {
-        rows if rows >= MAX_ROWS => BLOCK_THRESHOLD,
-        _ if hears_nobody => 1,
+    let min_ends = match crashes.recorded().len() {
+        rows if rows >= MAX_SUSPECT_ROWS => BLOCK_THRESHOLD,
+        _ if has_no_live_peer => 1,
         _ => RECORD_THRESHOLD,
     };
-    crashes.unrecorded(from_ends, others, MAX_AT_ONCE)
+    crashes.unrecorded(min_ends, takeover_before, MAX_ROWS_PER_CALL)
 }
 
-/// The ends whose rows are to be removed now.
+/// Crashes whose rows to remove now.
 fn to_remove(gateway: &Gateway) -> Vec<CrashRecord> {
-    let others = left_by_others(gateway);
+    let takeover_before = takeover_before(gateway);
     gateway
         .crashes
         .lock()
-        .obsolete_records(others, MAX_ENDS_AT_ONCE)
+        .obsolete_records(takeover_before, MAX_ENDS_PER_CALL)
 }
 
-/// Before when what others saw is this host's to write; none if it writes its own only.
-fn left_by_others(gateway: &Gateway) -> Option<Instant> {
-    let is_writer = gateway.rank() < WRITERS;
+/// Time before which this host handles rows that other hosts left; `None` if it handles only its
+/// own.
+fn takeover_before(gateway: &Gateway) -> Option<Instant> {
+    let is_writer = gateway.rank() < TAKEOVER_WRITERS;
     Instant::now()
-        .checked_sub(LEFT_TO_OWNER)
+        .checked_sub(TAKEOVER_AFTER)
         .filter(|_| is_writer)
 }
 
@@ -301,8 +304,8 @@
     }
 }
 
-/// The rows that go with an end: its own, and those of the work's trials.
-fn keys_of(record: &CrashRecord) -> Vec<CrashKey> {
+/// Keys of a crash's row and of the rows of the request's trials.
+fn end_and_trial_keys(record: &CrashRecord) -> Vec<CrashKey> {
     let trials = (0..STORED_TRIALS).map(|number| trial_key(record.fingerprint, number));
     std::iter::once(end_key(record)).chain(trials).collect()
 }
@@ -314,9 +317,9 @@
     }
 }
 
-/// Takes a trial of held work for all hosts; says whether it is this host's. The store tells
-/// whose it is; while it doesn't answer, the first of the processes takes them, and those that
-/// have no row.
+/// Takes a trial of a held back request for all hosts; returns whether this host may run it. The
+/// store decides between hosts. If it doesn't answer, or if the trial has no row, the process of
+/// rank 0 takes the trial.
 pub async fn take_trial(gateway: &Arc<Gateway>, work: Fingerprint, number: usize) -> bool {
     let Some(clock) = gateway.crashes.clock() else {
         return false;
@@ -326,11 +329,11 @@
         true => match write_trial(gateway, clock, work, number).await {
             Ok(TrialWrite::Taken) => (true, "taken".to_owned()),
             Ok(TrialWrite::Refused) => {
-                // Its row says when, but may be read only later.
+                // The row has the exact time, but may be read only later.
                 trial_taken(gateway, work, number);
                 (false, "another host has taken it".to_owned())
             }
-            // Its row may be written now or later, and then counts as a trial.
+            // The row may be written now or later, and then counts as a trial.
             Err(e) if is_first => (true, format!("taken without the store: {e}")),
             Err(e) => (false, e.to_string()),
         },
@@ -353,7 +356,7 @@
     crashes.trial_taken(work, number, Instant::now());
 }
 
-/// Writes a trial's row, unless another host has.
+/// Writes a trial's row unless another host has done so.
 async fn write_trial(
     gateway: &Arc<Gateway>,
     clock: StoreClock,
@@ -363,14 +366,14 @@
     let row = CrashRow {
         key: trial_key(work, number),
         host: gateway.host().name.clone(),
-        at_ms: clock.at_ms(Instant::now()),
+        at_ms: clock.to_store_ms(Instant::now()),
         in_trial: false,
     };
     let mut client = Client::new(gateway);
     client.store().take_trial(&row, TRIAL_TIMEOUT).await
 }
 
-/// Gives back a trial that reached no upstream.
+/// Returns a trial that reached no upstream.
 pub fn return_trial(gateway: &Arc<Gateway>, work: Fingerprint, number: usize) {
     gateway.crashes.lock().trial_returned(work, number);
     let gateway = gateway.clone();
@@ -378,12 +381,12 @@
         let mut client = Client::new(&gateway);
         let key = [trial_key(work, number)];
         if let Err(e) = client.store().remove_crashes(&key, ANSWER_TIMEOUT).await {
-            not_written(key.len(), &e);
+            log_write_failure(key.len(), &e);
         }
     });
 }
 
-fn not_written(rows: usize, e: &StoreError) {
+fn log_write_failure(rows: usize, e: &StoreError) {
     emit(&Event::CrashRowsNotWritten {
         rows,
         why: e.to_string(),
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -1,8 +1,8 @@
-//! Requests whose answer doesn't come: has their upstream ended?
+//! Checks whether an upstream crashed when it doesn't answer a request.
 //!
-//! An upstream that ends without closing its connections leaves a request without an end and
-//! without an answer. Taken for nothing, guilty work would be sent on and end one more each
-//! time. What the registry says of the upstream tells.
+//! An upstream that ends without closing its connections leaves the request neither failed nor
+//! answered. If this weren't counted, the request would be sent on and crash further upstreams.
+//! Whether the upstream has ended is determined from the registry.
 
 use crate::account::{Account, SentTo};
 use crate::serve::Call;
@@ -15,27 +15,28 @@
 use tokio::sync::Semaphore;
 use tokio::task::AbortHandle;
 
-/// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// How long it is looked: the entry of an upstream that is gone lapses within some seconds.
-const LOOK_FOR: Duration = Duration::from_secs(15);
+/// Interval between checks.
+const CHECK_EVERY: Duration = Duration::from_millis(500);
+/// Time for which an upstream is checked; the registry entry of an upstream that is gone expires
+/// within a few seconds.
+const WATCH_TIME: Duration = Duration::from_secs(15);
 
-/// Requests whose upstreams are watched at once, trials aside: when many upstreams are cut off
-/// some tell as much as all.
+/// Maximum number of requests whose upstreams are watched at the same time, except trials. When
+/// many upstreams are cut off, a sample is enough.
 const MAX_WATCHED: usize = 64;
 
-/// Room for requests whose upstreams are watched.
+/// Permits for watching the upstreams of requests.
 #[derive(Debug, Clone)]
-pub(super) struct Room(Arc<Semaphore>);
+pub(super) struct WatchPermits(Arc<Semaphore>);
 
-impl Default for Room {
+impl Default for WatchPermits {
     fn default() -> Self {
         Self(Arc::new(Semaphore::new(MAX_WATCHED)))
     }
 }
 
-/// A request that was sent.
-struct Sent {
+/// A request whose upstream is watched.
+struct WatchedRequest {
     gateway: Arc<Gateway>,
     request: String,
     work: Fingerprint,
@@ -45,23 +46,23 @@
     at: Instant,
 }
 
-/// What is known of its upstream.
+/// State of the upstream of a watched request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
-    /// Nothing yet, or its connection broke, which is judged elsewhere.
-    Open,
-    /// It has answered something since, or leaves as planned.
-    Lives,
-    /// It is gone, or has started again.
+enum UpstreamFate {
+    /// Not known yet. A broken connection is handled in [`super::broken`].
+    Unknown,
+    /// It has answered a request since, or is leaving as planned.
+    Alive,
+    /// It is gone, or has restarted.
     Ended,
 }
 
-/// A watch on the upstream that a trial is sent to; it goes on by itself.
+/// A background watch on the upstream to which a trial is sent.
 #[derive(Debug, Default)]
-pub struct Watch(Option<AbortHandle>);
+pub struct TrialWatch(Option<AbortHandle>);
 
-impl Watch {
-    /// Ends it, as the trial wasn't sent or the upstream says that it doesn't run it.
+impl TrialWatch {
+    /// Stops the watch, as the trial wasn't sent or the upstream says that it isn't running it.
     pub fn cancel(self) {
         if let Some(task) = self.0 {
             task.abort();
@@ -69,36 +70,39 @@
     }
 }
 
-/// Watches the upstream that a request is sent to, if this is a trial.
-pub fn watch_trial(call: &Call, account: &Account) -> Watch {
+/// Watches the upstream to which a request is sent, if the request is a trial.
+pub fn watch_trial(call: &Call, account: &Account) -> TrialWatch {
     if account.trial.is_none() {
-        return Watch::default();
+        return TrialWatch::default();
     }
-    let Some(sent) = Sent::new(call, account) else {
-        return Watch::default();
+    let Some(request) = WatchedRequest::new(call, account) else {
+        return TrialWatch::default();
     };
-    Watch(Some(tokio::spawn(sent.watch()).abort_handle()))
+    TrialWatch(Some(tokio::spawn(request.watch()).abort_handle()))
 }
 
-/// Watches the upstream of a request that it has not answered in time. Trials are watched from
-/// the time on at which they are sent.
-pub fn timed_out(call: &Call, account: &mut Account) {
+/// Watches the upstream of a request that wasn't answered in time. Trials are already watched from
+/// when they are sent.
+pub fn watch_timed_out(call: &Call, account: &mut Account) {
     if account.trial.is_some() || !account.may_have_run {
         return;
     }
-    let room = call.gateway.crashes.room.0.clone();
-    let (Some(sent), Ok(permit)) = (Sent::new(call, account), room.try_acquire_owned()) else {
+    let permits = call.gateway.crashes.watch_permits.0.clone();
+    let (Some(request), Ok(permit)) = (
+        WatchedRequest::new(call, account),
+        permits.try_acquire_owned(),
+    ) else {
         return;
     };
-    account.work = Some(sent.work);
+    account.work = Some(request.work);
     tokio::spawn(async move {
-        sent.watch().await;
+        request.watch().await;
         drop(permit);
     });
 }
 
-impl Sent {
-    /// What was sent just now, or went unanswered until now.
+impl WatchedRequest {
+    /// Watch of a request that was just sent, or just timed out.
     fn new(call: &Call, account: &Account) -> Option<Self> {
         Some(Self {
             gateway: call.gateway.clone(),
@@ -112,29 +116,29 @@
     }
 
     async fn watch(self) {
-        while self.at.elapsed() < LOOK_FOR {
-            tokio::time::sleep(LOOK_EVERY).await;
-            // Cleared meanwhile, it was answered.
+        while self.at.elapsed() < WATCH_TIME {
+            tokio::time::sleep(CHECK_EVERY).await;
+            // The request was answered and thereby cleared.
             if self.in_trial && self.gateway.crashes.lock().crash_count(self.work) == 0 {
                 return;
             }
             match self.fate() {
-                Fate::Open => {}
-                Fate::Lives => return,
-                Fate::Ended => return self.ended(),
+                UpstreamFate::Unknown => {}
+                UpstreamFate::Alive => return,
+                UpstreamFate::Ended => return self.report_end(),
             }
         }
     }
 
-    /// Counts the end, unless it is known by a connection that broke.
-    fn ended(&self) {
+    /// Counts the crash, unless it is already known from a broken connection.
+    fn report_end(&self) {
         let word = Observation::Crash {
             fingerprint: self.work,
             upstream: self.to.tag,
             at: self.at,
             in_trial: self.in_trial,
         };
-        if super::take(&self.gateway, word, Source::Local, true) == Change::Unchanged {
+        if super::apply(&self.gateway, word, Source::Local, true) == Change::Unchanged {
             return;
         }
         emit(&Event::UpstreamWentDark {
@@ -146,15 +150,15 @@
         });
     }
 
-    fn fate(&self) -> Fate {
+    fn fate(&self) -> UpstreamFate {
         let fleet = self.gateway.fleet();
         let Some(upstream) = fleet.get(self.to.key) else {
-            return Fate::Ended;
+            return UpstreamFate::Ended;
         };
         let has_answered_since = upstream.lived_at.is_some_and(|at| at > self.at);
         match has_answered_since || !upstream.is_open() {
-            true => Fate::Lives,
-            false => Fate::Open,
+            true => UpstreamFate::Alive,
+            false => UpstreamFate::Unknown,
         }
     }
 }
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -1,31 +1,30 @@
-//! Who the peers are: a row in the store for each process.
+//! Follows the list of processes in the store, which has a row for each process.
 
 use crate::follow::{Client, Dependency, held_for, wait_until_reader};
-use crate::peers::{first_look, zone_hash};
+use crate::peers::{startup_load, zone_hash};
 use crate::state::Gateway;
 use observe::{Event, emit};
 use platform::{Feed, Process, StoreError};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the store may hold a read. Members change a few times a day, and a
-/// newcomer makes itself known by its datagrams, so this is as long as the store
-/// allows.
-const WAIT: Duration = Duration::from_secs(30);
-/// Pause after a read that told of changes. When all processes start together,
-/// each row that is written would else wake each of them.
-const PAUSE: Duration = Duration::from_secs(3);
-/// Pause for each known peer, as more of them start and stop in a larger fleet.
+/// Time for which the store may hold a read. Members change a few times a day, and a new process
+/// becomes known by its datagrams, so this is the maximum that the store allows.
+const HOLD_TIME: Duration = Duration::from_secs(30);
+/// Pause after a read with changes. Otherwise, when all processes start together, each written row
+/// would wake each process.
+const PAUSE_AFTER_CHANGE: Duration = Duration::from_secs(3);
+/// Pause per known peer, as more processes start and stop in a larger fleet.
 const PAUSE_PER_PEER: Duration = Duration::from_millis(30);
-/// Time over which processes spread the writes of their rows at the first start of the
-/// system: the store accepts 200 writes of a table per second.
-const FIRST_START_WRITES: Duration = Duration::from_millis(3200);
+/// Time over which processes spread the writes of their rows at the first start of the system, as
+/// the store accepts 200 writes per second to a table.
+const FIRST_START_WRITE_SPREAD: Duration = Duration::from_millis(3200);
 /// Time over which they then spread their first reads.
-const FIRST_START_READS: Duration = Duration::from_millis(800);
-/// Longest wait for an answer besides.
+const FIRST_START_READ_SPREAD: Duration = Duration::from_millis(800);
+/// Time allowed for the store's answer, in addition to the time for which it holds a read.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Writes this process's row, and follows the others' until the process ends.
+/// Writes this process's row, and follows the other rows until the process ends.
 pub async fn follow(gateway: Arc<Gateway>) {
     let mut client = Client::new(&gateway);
     let mut dependency = Dependency::new("store/processes");
@@ -33,15 +32,16 @@
     let mut is_written = false;
     if gateway.host().is_first_start {
         // All rows are written before the first read, so that one read finds all of them.
-        let read_at =
-            Instant::now() + FIRST_START_WRITES + FIRST_START_READS.mul_f64(fastrand::f64());
-        tokio::time::sleep(FIRST_START_WRITES.mul_f64(fastrand::f64())).await;
+        let read_at = Instant::now()
+            + FIRST_START_WRITE_SPREAD
+            + FIRST_START_READ_SPREAD.mul_f64(fastrand::f64());
+        tokio::time::sleep(FIRST_START_WRITE_SPREAD.mul_f64(fastrand::f64())).await;
         is_written = write_row(&gateway, &mut client, &mut dependency).await;
         tokio::time::sleep_until(read_at.into()).await;
     }
     loop {
-        // Written after the first read, which tells whether it stands there already: a
-        // write wakes all that wait for changes.
+        // The row is written after the first read, which shows whether it already exists: a write
+        // wakes all readers that wait for changes.
         let is_read = matches!(from, Feed::Since(_));
         if is_read && !is_written {
             is_written = write_row(&gateway, &mut client, &mut dependency).await;
@@ -50,7 +50,7 @@
             }
         }
         wait_until_reader(&gateway, !is_read).await;
-        let wait = held_for(&from, WAIT);
+        let wait = held_for(&from, HOLD_TIME);
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().processes(&from, wait, timeout).await {
             Ok(change) => {
@@ -68,7 +68,7 @@
                 let has_more_pages = is_first && matches!(from, Feed::Rest { .. });
                 if has_more_pages
                     && gateway.config_version() == 0
-                    && first_look::load_snapshot(&gateway).await
+                    && startup_load::load_snapshot(&gateway).await
                 {
                     from = Feed::Since(gateway.members_version());
                 }
@@ -80,7 +80,7 @@
                 }
                 if let Feed::Since(version) = from {
                     gateway.set_members_version(version);
-                    gateway.peers().set_listed();
+                    gateway.peers().set_membership_known();
                 }
                 if has_changes && is_read {
                     let peers = gateway.peers().len();
@@ -121,9 +121,9 @@
     }
 }
 
-/// Pause after a read that told of changes, by the number of known peers.
+/// Pause after a read with changes, by the number of known peers.
 fn pause_for(peers: usize) -> Duration {
-    PAUSE.max(PAUSE_PER_PEER * peers as u32)
+    PAUSE_AFTER_CHANGE.max(PAUSE_PER_PEER * peers as u32)
 }
 
 /// The row of this process.
@@ -149,8 +149,8 @@
     }
 }
 
-/// Removes this process's row. If that fails, peers go on sending datagrams to
-/// nobody until a process on this host writes the row anew.
+/// Removes this process's row. If that fails, peers continue to send datagrams to this host until a
+/// process there writes the row again.
 pub async fn leave(gateway: &Arc<Gateway>) {
     let host = gateway.host();
     let mut client = Client::new(gateway);
--- a/crates/gateway/src/peers/first_look.rs
+++ b/crates/gateway/src/peers/startup_load.rs
@@ -1,12 +1,11 @@
-//! Loading of the initial state from a peer instead of the store.
+//! Loads the initial state from a peer instead of the store.
 //!
-//! In a large fleet this saves the store a full read of each table per start. Processes that
-//! start together find no peer with a complete snapshot, so each asks for a random time before
-//! it falls back to the store: the first ones read the store, and the others load their
-//! snapshots.
+//! In a large fleet this saves the store a full read of each table per start. Processes that start
+//! together find no peer with a complete snapshot, so each asks for a random time before it falls
+//! back to the store: the first ones read the store, and the others load their snapshots.
 
 use super::catch_up::{self, RegistryChanges};
-use super::{CrashWord, Member};
+use super::{CrashReport, Member};
 use crate::state::Gateway;
 use crate::{crashes, follow};
 use platform::Config;
@@ -17,19 +16,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Longest wait of the readers of other tables for the first page of the processes.
+/// Maximum time for which readers of other tables wait for the first page of the processes.
 const FIRST_PAGE_TIMEOUT: Duration = Duration::from_millis(100);
-/// The same at the first start of the system, when there is no traffic yet and all processes
-/// write their rows first.
+/// Same at the first start of the system, when there is no traffic yet and all processes write
+/// their rows first.
 const FIRST_START_PAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Upper bound of the random time for which peers are asked.
+/// Maximum of the random time for which peers are asked.
 const MAX_ASK_TIME: Duration = Duration::from_millis(800);
-/// The same at the first start of the system.
+/// Same at the first start of the system.
 const FIRST_START_MAX_ASK_TIME: Duration = Duration::from_secs(4);
-/// Pause before the next attempt.
+/// Pause between attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Stage of the loading from peers.
+/// Stage of loading from peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     /// The first page of the processes hasn't been read.
@@ -40,7 +39,7 @@
     Finished,
 }
 
-/// Progress of the loading from peers, shared with the readers of the store.
+/// Progress of loading from peers, shared with the readers of the store.
 #[derive(Debug)]
 pub struct StartupLoad {
     stage: watch::Sender<Stage>,
@@ -99,7 +98,7 @@
     /// The registry.
     pub registry: RegistryChanges,
     /// Upstream ends that are recorded in the store.
-    pub crashes: Vec<CrashWord>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// This process's snapshot for a starting peer; `None` while it is incomplete.
@@ -120,7 +119,7 @@
         members,
         config: gateway.routes()?.config.clone(),
         registry: gateway.changes_since(0)?,
-        crashes: crashes::recorded(gateway, Instant::now()),
+        crashes: crashes::recorded_ends(gateway, Instant::now()),
     })
 }
 
@@ -134,8 +133,8 @@
     };
     let until = Instant::now() + max_time.mul_f64(fastrand::f64());
     let has_loaded = loop {
-        let known = gateway.peers().addresses();
-        if let Some(ip) = fastrand::choice(known)
+        let peers = gateway.peers().addresses();
+        if let Some(ip) = fastrand::choice(peers)
             && load_from(gateway, ip).await
         {
             break true;
@@ -165,7 +164,7 @@
     }
     gateway.set_members_version(snapshot.members_version);
     follow::put_in_force(gateway, snapshot.config, "peer");
-    catch_up::take_changes(gateway, snapshot.registry, asked_at);
-    crashes::take_recorded(gateway, &snapshot.crashes, Instant::now());
+    catch_up::apply_changes(gateway, snapshot.registry, asked_at);
+    crashes::apply_recorded(gateway, &snapshot.crashes, Instant::now());
     true
 }
