--- a/crates/bench/src/keys.rs
+++ b/crates/bench/src/keys.rs
@@ -2,8 +2,8 @@
 //! lookup, looking a key up, and telling and reporting usage.
 
 use crate::usage;
-use gateway::duty::usage::begun::Begun;
 use gateway::duty::usage::message::Message;
+use gateway::duty::usage::request_log::RequestLog;
 use gateway::fleet::Fleet;
 use gateway::routes::RouteTable;
 use platform::usage::{TenantCount, UsageReport};
@@ -96,11 +96,11 @@
 /// Bytes of an answer with one request for each of so many tenants.
 fn answer_bytes(tenants: usize) -> usize {
     let now = Instant::now();
-    let mut begun = Begun::new(u32::MAX, || 1_800_000_000_000);
+    let mut begun = RequestLog::new(u32::MAX, || 1_800_000_000_000);
     for n in 0..tenants {
-        begun.note(now, name(n).into());
+        begun.record(now, name(n).into());
     }
-    let told = begun.since(0, 0, u32::MAX, now + Duration::from_millis(500));
+    let told = begun.read_from(0, 0, u32::MAX, now + Duration::from_millis(500));
     wire::encode_compact(&Message::Told(told)).len()
 }
 
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -1,11 +1,11 @@
 //! What is logged and counted of a request: one line at its end.
 
 use crate::answer::{Outcome, Reason};
-use crate::duty::usage::Begin;
+use crate::duty::usage::UsageState;
 use crate::fleet::UpstreamKey;
 use crate::fleet::speed::{Task, Work};
 use crate::quota::Grant;
-use crate::serve::Outlook;
+use crate::serve::FinishEstimate;
 use crate::state::{Gateway, RunningGuard};
 use observe::{Event, Labels, Seconds, UnderConfig, emit};
 use resilience::Fingerprint;
@@ -77,7 +77,7 @@
     /// Whether an upstream may have run it.
     pub may_have_run: bool,
     /// Whether it has begun to run, as its tenant's usage counts it.
-    pub begin: Begin,
+    pub begin: UsageState,
     /// What decided the last choice.
     pub inputs: Option<Inputs>,
     /// How long before the request came the stop signal did; none if it came later.
@@ -86,7 +86,7 @@
     pub expected_tokens: Option<u32>,
     /// Whether its answer was to end before the process, at the last choice; none if the
     /// process wasn't stopping.
-    pub outlook: Option<Outlook>,
+    pub outlook: Option<FinishEstimate>,
     /// Most tokens of the answer; none if the request isn't for an engine.
     pub max_output_tokens: Option<u32>,
     /// What it asks for and who asks, if that was needed.
@@ -108,7 +108,7 @@
     /// The account of a request that came at a time.
     pub fn open(gateway: &Arc<Gateway>, id: &str, since: Instant) -> Self {
         Self {
-            _running: gateway.begin(),
+            _running: gateway.begin_request(),
             gateway: gateway.clone(),
             since,
             id: id.to_owned(),
@@ -122,7 +122,7 @@
             attempts: 0,
             was_prefilled: false,
             may_have_run: false,
-            begin: Begin::NotSent,
+            begin: UsageState::NotSent,
             inputs: None,
             stopping_for: stopping_for(gateway, since),
             expected_tokens: None,
@@ -148,9 +148,13 @@
 
     /// Counts the request once in its tenant's usage, as one that began at a time.
     pub fn has_begun(&mut self, at: Instant) {
-        let before = std::mem::replace(&mut self.begin, Begin::Counted);
-        if let Some(tenant) = self.tenant.as_ref().filter(|_| before != Begin::Counted) {
-            self.gateway.usage.note(at, tenant);
+        let before = std::mem::replace(&mut self.begin, UsageState::Counted);
+        if let Some(tenant) = self
+            .tenant
+            .as_ref()
+            .filter(|_| before != UsageState::Counted)
+        {
+            self.gateway.usage.record(at, tenant);
         }
     }
 
@@ -159,7 +163,7 @@
         if std::mem::replace(&mut self.is_closed, true) {
             return;
         }
-        if let Begin::Sent(at) = self.begin {
+        if let UsageState::Sent(at) = self.begin {
             self.has_begun(at);
         }
         if let Some(mut grant) = self.grant.take()
@@ -226,13 +230,13 @@
 
 /// How long the process had been stopping when a request came.
 fn stopping_for(gateway: &Gateway, since: Instant) -> Option<Duration> {
-    since.checked_duration_since(gateway.ending()?.signal_at)
+    since.checked_duration_since(gateway.shutdown_schedule()?.signal_at)
 }
 
 impl Drop for Account {
     fn drop(&mut self) {
-        let ending = self.gateway.ending();
-        let reason = match ending.is_some_and(|e| e.answers_by <= Instant::now()) {
+        let ending = self.gateway.shutdown_schedule();
+        let reason = match ending.is_some_and(|e| e.refuse_at <= Instant::now()) {
             true => Reason::ProcessEnds,
             false => Reason::ClientGone,
         };
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -7,7 +7,7 @@
 use crate::choose::{Need, Plan};
 use crate::crashes::broken::connection_broke;
 use crate::crashes::unanswered;
-use crate::duty::usage::Begin;
+use crate::duty::usage::UsageState;
 use crate::fleet::speed::Task;
 use crate::serve::Call;
 use crate::state::{Gateway, LoadGuard};
@@ -227,7 +227,7 @@
         measured(gateway, call, plan, since.elapsed());
     }
     let mut load = load;
-    load.has_begun();
+    load.first_byte_received();
     note_begun(call, account, since);
     Tried::Started(Box::new(Started {
         status: head.status,
@@ -241,8 +241,8 @@
 /// Notes that an upstream was sent a request: a plain one begins there about then, also if
 /// nobody hears its answer. A stream's first event shows that it has begun.
 fn note_sent(call: &Call, account: &mut Account, at: Instant) {
-    if !call.target().route.kind.is_stream() && account.begin == Begin::NotSent {
-        account.begin = Begin::Sent(at);
+    if !call.target().route.kind.is_stream() && account.begin == UsageState::NotSent {
+        account.begin = UsageState::Sent(at);
     }
 }
 
@@ -250,7 +250,7 @@
 fn note_begun(call: &Call, account: &mut Account, sent_at: Instant) {
     let at = match (call.target().route.kind.is_stream(), account.begin) {
         (true, _) => Instant::now(),
-        (false, Begin::Sent(first)) => first,
+        (false, UsageState::Sent(first)) => first,
         (false, _) => sent_at,
     };
     account.has_begun(at);
@@ -302,10 +302,10 @@
 /// Builds the request for an upstream; none if it can't be built.
 fn request(call: &Call, plan: &Plan, step: Step<'_>) -> Option<Request<Body>> {
     let is_engine = call.is_engine;
-    let left = call.incoming.deadline.map(|_| call.left());
+    let left = call.incoming.deadline.map(|_| call.time_left());
     let say = ToWorker {
         instance: &plan.instance,
-        deadline: left.or_else(|| Some(call.left())),
+        deadline: left.or_else(|| Some(call.time_left())),
         rank: is_engine.then(|| engine_priority(call, plan)),
         last_event: call.last_event,
         tenancy: call.tenancy(),
--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -80,10 +80,10 @@
             return Tried::NotRun(NotRun::Held(why));
         }
         // A rejected send counts against the route's attempts and the budget.
-        if was_rejected && !call.may_retry(account) {
+        if was_rejected && !call.acquire_retry(account) {
             break;
         }
-        if !call.ends_in_time(account, taker.inputs.estimate_ms) {
+        if !call.finishes_in_time(account, taker.inputs.estimate_ms) {
             return Tried::NotRun(NotRun::NoTime);
         }
         account.upstream = Some(taker.instance.clone());
@@ -149,7 +149,7 @@
             Err(e.to_string())
         }
     };
-    load.has_begun();
+    load.first_byte_received();
     match parsed {
         Ok(prefilled) => {
             lives(gateway, plan, since);
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -4,7 +4,7 @@
 //! all processes; what was answered since, or is too old, is removed.
 
 use super::{Shared, StoreClock, take, tell};
-use crate::follow::{Client, Dependency, held_for, wait_until_reader};
+use crate::follow::{Dependency, StoreClient, hold_time, wait_until_feed_reader};
 use crate::state::Gateway;
 use observe::{Event, emit};
 use platform::store::MAX_ENTRIES;
@@ -50,7 +50,7 @@
         .startup_load
         .finished(gateway.host().is_first_start)
         .await;
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     let mut from = Feed::Start;
     // Pages of the table while it is read in full.
@@ -58,16 +58,16 @@
     loop {
         let is_whole = !matches!(from, Feed::Since(_));
         let is_initial = is_whole && !gateway.startup_load.has_loaded();
-        wait_until_reader(&gateway, is_initial).await;
+        wait_until_feed_reader(&gateway, is_initial).await;
         let longest = match hears_nobody(&gateway) {
             true => WAIT_ALONE,
             false => WAIT,
         };
-        let wait = held_for(&from, longest);
+        let wait = hold_time(&from, longest);
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().crashes(&from, wait, timeout).await {
             Ok(change) => {
-                dependency.good();
+                dependency.record_success();
                 for why in change.malformed {
                     let what = "crashes";
                     emit(&Event::Undecodable { what, why });
@@ -93,7 +93,7 @@
                 pages.clear();
             }
             Err(e) => {
-                dependency.bad(&e);
+                dependency.record_failure(&e);
                 dependency.pause(&gateway).await;
             }
         }
@@ -173,7 +173,7 @@
 }
 
 /// Removes rows that are too old. The first of the processes does it for all.
-async fn remove_old(gateway: &Gateway, client: &mut Client, changes: &[CrashChange]) {
+async fn remove_old(gateway: &Gateway, client: &mut StoreClient, changes: &[CrashChange]) {
     let Some(clock) = gateway.crashes.clock().filter(|_| gateway.rank() == 0) else {
         return;
     };
@@ -193,7 +193,7 @@
 
 /// Writes what the store is to keep, and removes what it needn't, until the process ends.
 pub async fn write(gateway: Arc<Gateway>) {
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     loop {
         // Looked at from time to time too, for ends that others should have written.
@@ -205,12 +205,12 @@
         loop {
             match write_once(&gateway, &mut client).await {
                 Ok(true) => {
-                    dependency.good();
+                    dependency.record_success();
                     tokio::time::sleep(PAUSE).await;
                 }
                 Ok(false) => break,
                 Err(e) => {
-                    dependency.bad(&e);
+                    dependency.record_failure(&e);
                     dependency.pause(&gateway).await;
                 }
             }
@@ -219,7 +219,7 @@
 }
 
 /// Writes or removes some rows; says whether there were any.
-async fn write_once(gateway: &Gateway, client: &mut Client) -> Result<bool, StoreError> {
+async fn write_once(gateway: &Gateway, client: &mut StoreClient) -> Result<bool, StoreError> {
     let Some(clock) = gateway.crashes.clock() else {
         // Nothing was read yet; the first read has it tried again.
         return Ok(false);
@@ -361,7 +361,7 @@
         at_ms: clock.at_ms(Instant::now()),
         in_trial: false,
     };
-    let mut client = Client::new(gateway);
+    let mut client = StoreClient::new(gateway);
     client.store().take_trial(&row, TRIAL_TIMEOUT).await
 }
 
@@ -370,7 +370,7 @@
     gateway.crashes.lock().trial_returned(work, number);
     let gateway = gateway.clone();
     tokio::spawn(async move {
-        let mut client = Client::new(&gateway);
+        let mut client = StoreClient::new(&gateway);
         let key = [trial_key(work, number)];
         if let Err(e) = client.store().remove_crashes(&key, ANSWER_TIMEOUT).await {
             not_written(key.len(), &e);
--- a/crates/gateway/src/division/orders.rs
+++ b/crates/gateway/src/division/orders.rs
@@ -5,10 +5,10 @@
 //! that is carried out late, changes nothing of that.
 
 use super::{Demand, Division, EngineUse, Wanted};
-use crate::duty::lease::Held;
+use crate::duty::lease::HeldLease;
 use crate::duty::take_lease;
 use crate::fleet::{Fleet, ServiceKey, Upstream, UpstreamKey};
-use crate::follow::Client;
+use crate::follow::StoreClient;
 use crate::peers::exchange;
 use crate::state::Gateway;
 use hyper::StatusCode;
@@ -53,7 +53,7 @@
 
 /// Watches all services with engines until the process ends.
 pub async fn follow(gateway: Arc<Gateway>) {
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut all: Vec<Watched> = Vec::new();
     let mut last = Instant::now();
     loop {
@@ -116,7 +116,7 @@
 
 /// Looks whether another division is better, and orders it. Gives the time until
 /// the next look.
-async fn decide(gateway: &Arc<Gateway>, client: &mut Client, watched: &Watched) -> Duration {
+async fn decide(gateway: &Arc<Gateway>, client: &mut StoreClient, watched: &Watched) -> Duration {
     let service = watched.service;
     let now = Instant::now();
     let (wanted, division, change) = {
@@ -172,7 +172,7 @@
     }
 }
 
-fn tell(gateway: &Gateway, watched: &Watched, now: Division, wanted: Wanted, held: Held) {
+fn tell(gateway: &Gateway, watched: &Watched, now: Division, wanted: Wanted, held: HeldLease) {
     let fleet = gateway.fleet();
     emit(&Event::DivisionWanted {
         service: &fleet.info(watched.service).name,
@@ -216,7 +216,7 @@
 }
 
 /// Gives one engine its order; says whether it may be carried out.
-async fn order(gateway: &Arc<Gateway>, target: &Target, stage: Stage, held: Held) -> bool {
+async fn order(gateway: &Arc<Gateway>, target: &Target, stage: Stage, held: HeldLease) -> bool {
     let pool = Pool::new(target.addr, ENGINE_TIMEOUT).metered(&gateway.upstream_bytes);
     let report = match report(&pool).await {
         Ok(report) => report,
@@ -281,7 +281,7 @@
 fn told(
     target: &Target,
     stage: Stage,
-    held: Held,
+    held: HeldLease,
     report: Option<Report>,
     outcome: &str,
     may_run: bool,
--- a/crates/gateway/src/duty/scaling.rs
+++ b/crates/gateway/src/duty/scaling.rs
@@ -8,7 +8,7 @@
 
 use super::{STORE_TIMEOUT, take_lease};
 use crate::fleet::{Fleet, ServiceKey};
-use crate::follow::Client;
+use crate::follow::StoreClient;
 use crate::state::Gateway;
 use observe::{Event, emit};
 use platform::cloud::{Cloud, ScaleOrder, UnderLease};
@@ -17,22 +17,22 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks at the demand.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const SAMPLE_EVERY: Duration = Duration::from_millis(250);
 /// Part of the slots that the busiest moment is to take: the rest is for what comes while
 /// a new upstream starts.
-const SLOTS_AIM: f64 = 0.6;
+const TARGET_UTILIZATION: f64 = 0.6;
 /// Span whose busiest moment counts, at least, and in times that an upstream takes to start.
-const SPAN: Duration = Duration::from_secs(30);
-const SPAN_STARTS: u32 = 5;
+const MIN_PEAK_WINDOW: Duration = Duration::from_secs(30);
+const PEAK_WINDOW_STARTS: u32 = 5;
 /// Time after an order in which the same zone gets no other, besides the start of an
 /// upstream.
-const SETTLE: Duration = Duration::from_secs(3);
+const ORDER_COOLDOWN: Duration = Duration::from_secs(3);
 /// Longest wait for an answer to an order.
 const CALL_TIMEOUT: Duration = STORE_TIMEOUT;
 
 /// What is observed of a service in an availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ZoneUse {
+pub struct ZoneOccupancy {
     /// Requests that run or wait there.
     pub running: u32,
     /// Upstreams that take requests.
@@ -46,7 +46,7 @@
 pub struct Demand {
     /// The most that ran at once in this half of the span, and in the one before.
     peaks: [u32; 2],
-    half_since: Instant,
+    half_started_at: Instant,
 }
 
 impl Demand {
@@ -54,113 +54,113 @@
     pub fn new(now: Instant) -> Self {
         Self {
             peaks: [0; 2],
-            half_since: now,
+            half_started_at: now,
         }
     }
 
     /// Notes what runs now.
-    pub fn sample(&mut self, seen: ZoneUse, bounds: Scaling, now: Instant) {
-        if now.saturating_duration_since(self.half_since) >= span(bounds) / 2 {
+    pub fn sample(&mut self, occupancy: ZoneOccupancy, bounds: Scaling, now: Instant) {
+        if now.saturating_duration_since(self.half_started_at) >= peak_window(bounds) / 2 {
             self.peaks = [0, self.peaks[0]];
-            self.half_since = now;
+            self.half_started_at = now;
         }
-        self.peaks[0] = self.peaks[0].max(seen.running);
+        self.peaks[0] = self.peaks[0].max(occupancy.running);
     }
 
     /// How many upstreams the zone should have, if that isn't what it has.
-    pub fn wanted(&self, seen: ZoneUse, bounds: Scaling) -> Option<u32> {
-        let peak = self.peaks[0].max(self.peaks[1]).max(seen.running);
-        let aim = f64::from(seen.slots.max(1)) * SLOTS_AIM;
-        let needed = (f64::from(peak) / aim).ceil() as u32;
+    pub fn desired_upstreams(&self, occupancy: ZoneOccupancy, bounds: Scaling) -> Option<u32> {
+        let peak = self.peaks[0].max(self.peaks[1]).max(occupancy.running);
+        let target = f64::from(occupancy.slots.max(1)) * TARGET_UTILIZATION;
+        let needed = (f64::from(peak) / target).ceil() as u32;
         let needed = needed.clamp(bounds.least, bounds.most);
-        match needed.cmp(&seen.upstreams) {
+        match needed.cmp(&occupancy.upstreams) {
             std::cmp::Ordering::Greater => Some(needed),
             // One at a time, so that what was misjudged is seen before the next.
-            std::cmp::Ordering::Less => Some(needed.max(seen.upstreams - 1)),
+            std::cmp::Ordering::Less => Some(needed.max(occupancy.upstreams - 1)),
             std::cmp::Ordering::Equal => None,
         }
     }
 
     /// Whether the demand was watched long enough to order fewer upstreams.
-    pub fn is_settled(&self, since: Instant, bounds: Scaling, now: Instant) -> bool {
-        now.saturating_duration_since(since) >= span(bounds)
+    pub fn may_scale_down(&self, since: Instant, bounds: Scaling, now: Instant) -> bool {
+        now.saturating_duration_since(since) >= peak_window(bounds)
     }
 }
 
-fn span(bounds: Scaling) -> Duration {
-    SPAN.max(bounds.start * SPAN_STARTS)
+fn peak_window(bounds: Scaling) -> Duration {
+    MIN_PEAK_WINDOW.max(bounds.start * PEAK_WINDOW_STARTS)
 }
 
 /// A service in a zone that is watched.
 #[derive(Debug)]
-struct Watched {
+struct ScaledZone {
     service: ServiceKey,
     zone: String,
     demand: Demand,
     since: Instant,
-    rests_until: Instant,
+    cooldown_until: Instant,
 }
 
 /// Watches all services whose number is ours to choose, and orders upstreams, until the
 /// process ends.
-pub async fn follow(gateway: Arc<Gateway>) {
-    let mut client = Client::new(&gateway);
-    let mut all: Vec<Watched> = Vec::new();
+pub async fn run(gateway: Arc<Gateway>) {
+    let mut client = StoreClient::new(&gateway);
+    let mut zones: Vec<ScaledZone> = Vec::new();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(SAMPLE_EVERY).await;
         let has_duty = gateway.host().cloud.as_ref().is_some_and(|c| c.scales);
         if !has_duty {
             continue;
         }
         let now = Instant::now();
-        let orders = look(&gateway, &mut all, now);
+        let orders = plan_orders(&gateway, &mut zones, now);
         if gateway.rank() != 0 || !gateway.is_ready() {
             continue;
         }
-        for (at, order, bounds) in orders {
-            if now < all[at].rests_until {
+        for (index, order, bounds) in orders {
+            if now < zones[index].cooldown_until {
                 continue;
             }
-            let pause = match give(&gateway, &mut client, &order).await {
-                Ok(()) => SETTLE + bounds.start,
+            let pause = match send_order(&gateway, &mut client, &order).await {
+                Ok(()) => ORDER_COOLDOWN + bounds.start,
                 Err(pause) => pause,
             };
-            all[at].rests_until = Instant::now() + pause;
+            zones[index].cooldown_until = Instant::now() + pause;
         }
     }
 }
 
 /// Takes the demand of all services in all zones; gives the orders that it calls for, with
 /// the place of what they are for.
-fn look(
+fn plan_orders(
     gateway: &Gateway,
-    all: &mut Vec<Watched>,
+    zones: &mut Vec<ScaledZone>,
     now: Instant,
 ) -> Vec<(usize, ScaleOrder, Scaling)> {
     let fleet = gateway.fleet();
     let mut orders = Vec::new();
     for (service, bounds) in fleet.scaled_services() {
-        for (zone, seen) in zones(&fleet, service) {
-            let found = all
+        for (zone, occupancy) in occupancy_by_zone(&fleet, service) {
+            let found = zones
                 .iter()
                 .position(|w| w.service == service && w.zone == zone);
-            let at = found.unwrap_or_else(|| {
-                all.push(Watched {
+            let index = found.unwrap_or_else(|| {
+                zones.push(ScaledZone {
                     service,
                     zone: zone.clone(),
                     demand: Demand::new(now),
                     since: now,
-                    rests_until: now,
+                    cooldown_until: now,
                 });
-                all.len() - 1
+                zones.len() - 1
             });
-            let watched = &mut all[at];
-            watched.demand.sample(seen, bounds, now);
-            let Some(upstreams) = watched.demand.wanted(seen, bounds) else {
+            let scaled = &mut zones[index];
+            scaled.demand.sample(occupancy, bounds, now);
+            let Some(upstreams) = scaled.demand.desired_upstreams(occupancy, bounds) else {
                 continue;
             };
-            let is_fewer = upstreams < seen.upstreams;
-            if is_fewer && !watched.demand.is_settled(watched.since, bounds, now) {
+            let is_fewer = upstreams < occupancy.upstreams;
+            if is_fewer && !scaled.demand.may_scale_down(scaled.since, bounds, now) {
                 continue;
             }
             let service = fleet.info(service).name.clone();
@@ -169,49 +169,49 @@
                 zone,
                 upstreams,
             };
-            orders.push((at, order, bounds));
+            orders.push((index, order, bounds));
         }
     }
     orders
 }
 
 /// The zones in which a service has upstreams, with their use.
-fn zones(fleet: &Fleet, service: ServiceKey) -> Vec<(String, ZoneUse)> {
-    let mut out: Vec<(String, ZoneUse)> = Vec::new();
+fn occupancy_by_zone(fleet: &Fleet, service: ServiceKey) -> Vec<(String, ZoneOccupancy)> {
+    let mut out: Vec<(String, ZoneOccupancy)> = Vec::new();
     for (_, upstream) in fleet.iter().filter(|(_, u)| u.service == service) {
         let instance = &upstream.instance;
-        let at = out.binary_search_by(|(zone, _)| zone.as_str().cmp(&instance.zone));
-        let at = at.unwrap_or_else(|at| {
-            let none = ZoneUse {
+        let index = out.binary_search_by(|(zone, _)| zone.as_str().cmp(&instance.zone));
+        let index = index.unwrap_or_else(|index| {
+            let none = ZoneOccupancy {
                 running: 0,
                 upstreams: 0,
                 slots: instance.slots,
             };
-            out.insert(at, (instance.zone.clone(), none));
-            at
+            out.insert(index, (instance.zone.clone(), none));
+            index
         });
-        let seen = &mut out[at].1;
-        seen.running += upstream.all_running();
-        seen.upstreams += u32::from(upstream.is_open());
+        let occupancy = &mut out[index].1;
+        occupancy.running += upstream.all_running();
+        occupancy.upstreams += u32::from(upstream.is_open());
     }
     out
 }
 
 /// Gives an order under the lease; else the time until the next try.
-async fn give(
+async fn send_order(
     gateway: &Arc<Gateway>,
-    client: &mut Client,
+    client: &mut StoreClient,
     order: &ScaleOrder,
 ) -> Result<(), Duration> {
     let held = take_lease(gateway, client, Duty::Scaling).await?;
     let host = gateway.host();
-    let addr = host.cloud.as_ref().map(|c| c.addr).ok_or(SETTLE)?;
+    let addr = host.cloud.as_ref().map(|c| c.addr).ok_or(ORDER_COOLDOWN)?;
     let under = UnderLease {
         host: &host.name,
         token: held.token,
     };
     if !held.is_valid(Instant::now()) {
-        return Err(SETTLE);
+        return Err(ORDER_COOLDOWN);
     }
     let cloud = Cloud::new(addr, &gateway.store_bytes);
     let answer = cloud.scale(under, order, CALL_TIMEOUT).await;
--- a/crates/gateway/src/duty/usage/clock.rs
+++ b/crates/gateway/src/duty/usage/clock.rs
@@ -12,54 +12,56 @@
 /// Time between two rounds that are kept.
 pub const ROUND_EVERY: Duration = Duration::from_secs(1);
 /// Rounds that are kept.
-const ROUNDS: usize = 60;
+const MAX_ROUNDS: usize = 60;
 /// Rounds that a first answer needs: a host that has just started may know itself alone.
-const ROUNDS_NEEDED: usize = 2;
+const MIN_ROUNDS: usize = 2;
 
 /// True time as far as it is known.
 #[derive(Debug)]
-pub struct TrueTime {
+pub struct FleetClock {
     /// Where this process's steady time is counted from.
     base: Instant,
     /// Unix milliseconds at `base`, the middle of all hosts, by round.
     rounds: VecDeque<i64>,
-    round_at: Option<Instant>,
+    last_round_at: Option<Instant>,
 }
 
-impl TrueTime {
+impl FleetClock {
     /// Knows nothing yet.
     pub fn new(base: Instant) -> Self {
         Self {
             base,
             rounds: VecDeque::new(),
-            round_at: None,
+            last_round_at: None,
         }
     }
 
     /// What a time of day that a host had at an instant makes `base`.
-    pub fn belief(&self, time_of_day_ms: i64, at: Instant) -> i64 {
+    pub fn estimate_base(&self, time_of_day_ms: i64, at: Instant) -> i64 {
         time_of_day_ms.saturating_sub(self.steady_ms(at))
     }
 
     /// Takes what hosts believe, one each, if a round is due.
-    pub fn round(&mut self, mut beliefs: Vec<i64>, now: Instant) {
-        let since = self.round_at.map(|at| now.saturating_duration_since(at));
-        if beliefs.is_empty() || since.is_some_and(|since| since < ROUND_EVERY) {
+    pub fn add_round(&mut self, mut estimates: Vec<i64>, now: Instant) {
+        let since = self
+            .last_round_at
+            .map(|at| now.saturating_duration_since(at));
+        if estimates.is_empty() || since.is_some_and(|since| since < ROUND_EVERY) {
             return;
         }
-        self.round_at = Some(now);
-        self.rounds.push_back(middle(&mut beliefs));
-        if self.rounds.len() > ROUNDS {
+        self.last_round_at = Some(now);
+        self.rounds.push_back(median(&mut estimates));
+        if self.rounds.len() > MAX_ROUNDS {
             self.rounds.pop_front();
         }
     }
 
     fn base_ms(&self) -> Option<i64> {
-        if self.rounds.len() < ROUNDS_NEEDED {
+        if self.rounds.len() < MIN_ROUNDS {
             return None;
         }
         let mut rounds: Vec<i64> = self.rounds.iter().copied().collect();
-        Some(middle(&mut rounds))
+        Some(median(&mut rounds))
     }
 
     /// True time at an instant, in Unix milliseconds.
@@ -86,7 +88,7 @@
 }
 
 /// The middle of some numbers, the lower of two.
-fn middle(numbers: &mut [i64]) -> i64 {
+fn median(numbers: &mut [i64]) -> i64 {
     numbers.sort_unstable();
     numbers[(numbers.len() - 1) / 2]
 }
--- a/crates/gateway/src/duty/usage/exchange.rs
+++ b/crates/gateway/src/duty/usage/exchange.rs
@@ -6,7 +6,7 @@
 
 use super::ledger::Position;
 use super::message::{Ask, Message, Told};
-use super::{Collector, Usage, is_collector, is_wanted, time_of_day_ms};
+use super::{Collector, Usage, is_collector, is_enabled, time_of_day_ms};
 use crate::StartError;
 use crate::state::Gateway;
 use std::net::{IpAddr, SocketAddr};
@@ -16,29 +16,29 @@
 
 /// Shortest time between two questions to one process: what a process that is killed
 /// hadn't told is lost, half of this time of its requests on average.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+const POLL_EVERY: Duration = Duration::from_millis(250);
 /// Time added for each process that is asked, so that a collector asks at most a hundred
 /// a second; and the longest time in all.
-const ASK_EVERY_PER_PEER: Duration = Duration::from_millis(10);
-const ASK_AT_LEAST: Duration = Duration::from_millis(2500);
+const POLL_EVERY_PER_PEER: Duration = Duration::from_millis(10);
+const MAX_POLL_PAUSE: Duration = Duration::from_millis(2500);
 /// A process that hasn't answered for so long is asked the less often.
-const SILENT: Duration = Duration::from_secs(3);
-const ASK_SILENT_EVERY: Duration = Duration::from_secs(1);
+const SILENT_AFTER: Duration = Duration::from_secs(3);
+const POLL_SILENT_EVERY: Duration = Duration::from_secs(1);
 /// Longest time for which an answer is waited for.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Beliefs about the time of day count for so long.
-const BELIEF_LASTS: Duration = Duration::from_secs(3);
+const ESTIMATE_LIFETIME: Duration = Duration::from_secs(3);
 /// Largest datagram.
 const MAX_DATAGRAM: usize = 16 << 10;
 /// Collectors that are remembered.
 const MAX_COLLECTORS: usize = 8;
 /// How often and with what pause the last requests are told before a process ends.
-const LAST_TOLD: u32 = 3;
-const LAST_PAUSE: Duration = Duration::from_millis(20);
+const FINAL_SENDS: u32 = 3;
+const FINAL_SEND_PAUSE: Duration = Duration::from_millis(20);
 
 /// A question that waits for its answer.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct OpenQuery {
     ip: IpAddr,
     number: u32,
     at: Instant,
@@ -46,7 +46,7 @@
 
 /// What a host said its time of day was.
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct TimeEstimate {
     ip: IpAddr,
     base_ms: i64,
     at: Instant,
@@ -54,19 +54,19 @@
 
 /// The questions of this process that are open, and what the answers told of time.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct Queries {
     number: u32,
-    open: Vec<Asked>,
-    beliefs: Vec<Belief>,
+    open: Vec<OpenQuery>,
+    estimates: Vec<TimeEstimate>,
 }
 
-impl Questions {
-    fn ask(&mut self, ip: IpAddr, now: Instant) -> u32 {
+impl Queries {
+    fn open_query(&mut self, ip: IpAddr, now: Instant) -> u32 {
         self.open
-            .retain(|q| now.saturating_duration_since(q.at) < ANSWER_WITHIN);
+            .retain(|q| now.saturating_duration_since(q.at) < ANSWER_TIMEOUT);
         self.number = self.number.wrapping_add(1).max(1);
         let number = self.number;
-        self.open.push(Asked {
+        self.open.push(OpenQuery {
             ip,
             number,
             at: now,
@@ -75,7 +75,7 @@
     }
 
     /// When the question was asked that an answer belongs to.
-    fn answered(&mut self, ip: IpAddr, number: u32) -> Option<Instant> {
+    fn close_query(&mut self, ip: IpAddr, number: u32) -> Option<Instant> {
         let at = self
             .open
             .iter()
@@ -83,15 +83,15 @@
         Some(self.open.remove(at).at)
     }
 
-    fn believe(&mut self, ip: IpAddr, base_ms: i64, at: Instant) {
-        self.beliefs.retain(|b| b.ip != ip);
-        self.beliefs.push(Belief { ip, base_ms, at });
+    fn add_estimate(&mut self, ip: IpAddr, base_ms: i64, at: Instant) {
+        self.estimates.retain(|b| b.ip != ip);
+        self.estimates.push(TimeEstimate { ip, base_ms, at });
     }
 
-    fn beliefs(&mut self, now: Instant) -> Vec<i64> {
-        self.beliefs
-            .retain(|b| now.saturating_duration_since(b.at) < BELIEF_LASTS);
-        self.beliefs.iter().map(|b| b.base_ms).collect()
+    fn estimates(&mut self, now: Instant) -> Vec<i64> {
+        self.estimates
+            .retain(|b| now.saturating_duration_since(b.at) < ESTIMATE_LIFETIME);
+        self.estimates.iter().map(|b| b.base_ms).collect()
     }
 }
 
@@ -99,7 +99,7 @@
 #[derive(Debug)]
 pub struct Exchange {
     socket: UdpSocket,
-    questions: Mutex<Questions>,
+    queries: Mutex<Queries>,
 }
 
 /// Binds the port for usage; starts to hear and to ask.
@@ -111,14 +111,14 @@
     socket.set_nonblocking(true).map_err(bad)?;
     let exchange = Arc::new(Exchange {
         socket: UdpSocket::from_std(socket).map_err(bad)?,
-        questions: Mutex::default(),
+        queries: Mutex::default(),
     });
-    tokio::spawn(hear(gateway.clone(), exchange.clone()));
-    tokio::spawn(ask(gateway.clone(), exchange));
+    tokio::spawn(receive(gateway.clone(), exchange.clone()));
+    tokio::spawn(poll_peers(gateway.clone(), exchange));
     Ok(())
 }
 
-async fn hear(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
+async fn receive(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
         // An error here means that an earlier datagram met a closed port.
@@ -132,7 +132,7 @@
                 let told = answer(&gateway.usage, from.ip(), ask, now);
                 send(&exchange.socket, from, &Message::Told(told));
             }
-            Some(Message::Told(told)) => take(&gateway, &exchange, from.ip(), &told, now),
+            Some(Message::Told(told)) => handle_told(&gateway, &exchange, from.ip(), &told, now),
             // Any sender may send anything; peers of another version are logged by the
             // exchange of loads.
             Some(Message::Ask(_)) | None => {}
@@ -147,38 +147,38 @@
 
 /// Answers a collector.
 fn answer(usage: &Usage, ip: IpAddr, ask: Ask, now: Instant) -> Told {
-    usage.set_done(ask.done);
+    usage.set_done_window(ask.done);
     let told = {
-        let mut begun = usage.begun();
-        begun.forget(now);
-        begun.since(ask.start, ask.from, ask.number, now)
+        let mut request_log = usage.request_log();
+        request_log.expire(now);
+        request_log.read_from(ask.start, ask.from, ask.number, now)
     };
-    let mut asked = usage.asked();
-    asked.at = now;
-    asked.by.retain(|c| c.ip != ip);
-    asked.by.push(Collector {
+    let mut polls = usage.polls();
+    polls.last_at = now;
+    polls.collectors.retain(|c| c.ip != ip);
+    polls.collectors.push(Collector {
         ip,
-        asked_at: now,
-        lacks_from: told.from,
+        polled_at: now,
+        next_needed: told.from,
         start: told.start,
     });
-    if asked.by.len() > MAX_COLLECTORS {
-        asked.by.remove(0);
+    if polls.collectors.len() > MAX_COLLECTORS {
+        polls.collectors.remove(0);
     }
     told
 }
 
 /// Takes an answer, or what a process tells before it ends.
-fn take(gateway: &Gateway, exchange: &Exchange, ip: IpAddr, told: &Told, now: Instant) {
+fn handle_told(gateway: &Gateway, exchange: &Exchange, ip: IpAddr, told: &Told, now: Instant) {
     let is_known = gateway.peers().knows(ip);
-    let mut questions = exchange.questions();
+    let mut queries = exchange.queries();
     // One that waited while this process stood still is asked for again: nobody knows when
     // it was made.
     let is_timely = |at: &Instant| {
         let took = now.saturating_duration_since(*at);
-        took < ANSWER_WITHIN && !gateway.may_have_waited(now)
+        took < ANSWER_TIMEOUT && !gateway.may_have_waited(now)
     };
-    let asked_at = questions.answered(ip, told.number).filter(is_timely);
+    let asked_at = queries.close_query(ip, told.number).filter(is_timely);
     let is_last = told.number == 0 && is_known;
     let at = match asked_at {
         // The answer was made between the question and now.
@@ -186,110 +186,112 @@
         None if is_last => now,
         None => return,
     };
-    let base_ms = gateway.usage.clock().belief(told.time_of_day_ms, at);
-    questions.believe(ip, base_ms, now);
-    if gateway.usage.ledger().take(ip, told, at) && !is_last {
-        ask_one(gateway, exchange, &mut questions, ip, now);
+    let base_ms = gateway.usage.clock().estimate_base(told.time_of_day_ms, at);
+    queries.add_estimate(ip, base_ms, now);
+    if gateway.usage.ledger().add(ip, told, at) && !is_last {
+        poll_peer(gateway, exchange, &mut queries, ip, now);
     }
 }
 
 impl Exchange {
-    fn questions(&self) -> std::sync::MutexGuard<'_, Questions> {
-        self.questions.lock().expect("no panic while locked")
+    fn queries(&self) -> std::sync::MutexGuard<'_, Queries> {
+        self.queries.lock().expect("no panic while locked")
     }
 }
 
-fn ask_one(
+fn poll_peer(
     gateway: &Gateway,
     exchange: &Exchange,
-    questions: &mut Questions,
+    queries: &mut Queries,
     ip: IpAddr,
     now: Instant,
 ) {
     let Position { start, next } = gateway.usage.ledger().position(ip);
     let ask = Ask {
-        number: questions.ask(ip, now),
+        number: queries.open_query(ip, now),
         start,
         from: next,
-        done: gateway.usage.done(),
+        done: gateway.usage.done_window(),
     };
     let to = SocketAddr::new(ip, gateway.host().usage_port);
     send(&exchange.socket, to, &Message::Ask(ask));
 }
 
 /// Asks all processes while this one collects, until it ends.
-async fn ask(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
-    let mut asked_silent_at = Instant::now();
+async fn poll_peers(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
+    let mut silent_polled_at = Instant::now();
     loop {
         let peers = gateway.peers().addresses();
-        let pause = ASK_EVERY.max(ASK_EVERY_PER_PEER * peers.len() as u32);
-        tokio::time::sleep(pause.min(ASK_AT_LEAST)).await;
+        let pause = POLL_EVERY.max(POLL_EVERY_PER_PEER * peers.len() as u32);
+        tokio::time::sleep(pause.min(MAX_POLL_PAUSE)).await;
         let now = Instant::now();
-        if !is_wanted(&gateway) || !is_collector(&gateway, now) {
-            gateway.usage.begun().forget(now);
+        if !is_enabled(&gateway) || !is_collector(&gateway, now) {
+            gateway.usage.request_log().expire(now);
             continue;
         }
-        let may_ask_silent = now.saturating_duration_since(asked_silent_at) >= ASK_SILENT_EVERY;
-        if may_ask_silent {
-            asked_silent_at = now;
+        let may_poll_silent = now.saturating_duration_since(silent_polled_at) >= POLL_SILENT_EVERY;
+        if may_poll_silent {
+            silent_polled_at = now;
         }
-        let mut questions = exchange.questions();
-        take_own(&gateway, &mut questions, now);
+        let mut queries = exchange.queries();
+        add_own_requests(&gateway, &mut queries, now);
         for ip in peers {
-            let heard_at = gateway.usage.ledger().heard_at(ip);
-            let is_silent = heard_at.is_none_or(|at| now.saturating_duration_since(at) > SILENT);
-            if !is_silent || may_ask_silent {
-                ask_one(&gateway, &exchange, &mut questions, ip, now);
+            let last_heard_at = gateway.usage.ledger().last_heard_at(ip);
+            let is_silent =
+                last_heard_at.is_none_or(|at| now.saturating_duration_since(at) > SILENT_AFTER);
+            if !is_silent || may_poll_silent {
+                poll_peer(&gateway, &exchange, &mut queries, ip, now);
             }
         }
-        let beliefs = questions.beliefs(now);
-        gateway.usage.clock().round(beliefs, now);
+        let estimates = queries.estimates(now);
+        gateway.usage.clock().add_round(estimates, now);
     }
 }
 
 /// Takes this process's own requests, as any other's.
-fn take_own(gateway: &Gateway, questions: &mut Questions, now: Instant) {
+fn add_own_requests(gateway: &Gateway, queries: &mut Queries, now: Instant) {
     let usage = &gateway.usage;
     let ip = gateway.host().ip;
     loop {
         let Position { start, next } = usage.ledger().position(ip);
         let told = {
-            let mut begun = usage.begun();
-            begun.forget(now);
-            begun.since(start, next, 0, now)
+            let mut request_log = usage.request_log();
+            request_log.expire(now);
+            request_log.read_from(start, next, 0, now)
         };
-        if !usage.ledger().take(ip, &told, now) {
+        if !usage.ledger().add(ip, &told, now) {
             break;
         }
     }
-    let base_ms = usage.clock().belief(time_of_day_ms(), now);
-    questions.believe(ip, base_ms, now);
+    let base_ms = usage.clock().estimate_base(time_of_day_ms(), now);
+    queries.add_estimate(ip, base_ms, now);
 }
 
 /// Tells the collectors of late what they lack, a few times over, as nobody asks again.
 /// Gives how many requests no collector has asked for.
-pub async fn tell_last(gateway: &Arc<Gateway>) -> u64 {
+pub async fn send_remaining(gateway: &Arc<Gateway>) -> u64 {
     let host = gateway.host();
     let now = Instant::now();
     let Ok(socket) = UdpSocket::bind(SocketAddr::new(host.ip, 0)).await else {
         return unreported(gateway, now);
     };
     let collectors: Vec<Collector> = {
-        let asked = gateway.usage.asked();
-        let of_late = asked
-            .by
+        let polls = gateway.usage.polls();
+        let recent = polls
+            .collectors
             .iter()
-            .filter(|c| now.saturating_duration_since(c.asked_at) < SILENT);
-        of_late.copied().collect()
+            .filter(|c| now.saturating_duration_since(c.polled_at) < SILENT_AFTER);
+        recent.copied().collect()
     };
-    for _ in 0..LAST_TOLD {
+    for _ in 0..FINAL_SENDS {
         for collector in &collectors {
-            let begun = gateway.usage.begun();
-            let told = begun.since(collector.start, collector.lacks_from, 0, Instant::now());
+            let request_log = gateway.usage.request_log();
+            let told =
+                request_log.read_from(collector.start, collector.next_needed, 0, Instant::now());
             let to = SocketAddr::new(collector.ip, host.usage_port);
             send(&socket, to, &Message::Told(told));
         }
-        tokio::time::sleep(LAST_PAUSE).await;
+        tokio::time::sleep(FINAL_SEND_PAUSE).await;
     }
     match collectors.is_empty() {
         true => unreported(gateway, now),
@@ -303,11 +305,11 @@
     let length = host.cloud.as_ref().and_then(|c| c.usage).map(|u| u.window);
     let usage = &gateway.usage;
     let begins = length.and_then(|length| {
-        let next = usage.done().checked_add(1)?;
+        let next = usage.done_window().checked_add(1)?;
         let unix_ms = next.checked_mul(length.as_millis() as u64)?;
         usage.clock().instant(i64::try_from(unix_ms).ok()?)
     });
-    let mut begun = usage.begun();
-    begun.forget(now);
-    begun.kept_since(begins)
+    let mut request_log = usage.request_log();
+    request_log.expire(now);
+    request_log.count_since(begins)
 }
--- a/crates/gateway/src/duty/usage/holder.rs
+++ b/crates/gateway/src/duty/usage/holder.rs
@@ -5,7 +5,7 @@
 //! then sent, as it is written. The next one is decided when the last is through or past
 //! its use. So no two reports of a window differ, whoever sends them.
 
-use crate::duty::lease::{self, Held, Turn};
+use crate::duty::lease::{self, Decision, HeldLease};
 use platform::usage::{UsageRead, UsageReport};
 use platform::{Duty, Lease, LeaseRead, Written};
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Nothing.
-    Rest,
+    Idle,
     /// Another host may act until some time from now.
     Wait(Duration),
     /// Read the rows.
@@ -24,7 +24,7 @@
         /// The lease.
         lease: Lease,
         /// Version of its row that is written over.
-        over: u64,
+        expected_version: u64,
         /// Window whose report is decided.
         window: Option<u64>,
     },
@@ -56,9 +56,9 @@
     /// Shortest time between calls of two hosts.
     gap: Duration,
     rows: Option<Rows>,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     /// Last window whose report is through or past its use.
-    done: u64,
+    done_window: u64,
 }
 
 impl Holder {
@@ -69,24 +69,24 @@
             gap,
             rows: None,
             held: None,
-            done: 0,
+            done_window: 0,
         }
     }
 
     /// Last window whose report is through or past its use.
-    pub fn done(&self) -> u64 {
-        self.done
+    pub fn done_window(&self) -> u64 {
+        self.done_window
     }
 
     /// Notes that a window's report is through or past its use, as this host or another
     /// found.
-    pub fn set_done(&mut self, window: u64) {
-        self.done = self.done.max(window);
+    pub fn set_done_window(&mut self, window: u64) {
+        self.done_window = self.done_window.max(window);
     }
 
     /// The last window whose report is decided, as far as the rows are known; none if none
     /// ever was.
-    pub fn decided(&self) -> Option<u64> {
+    pub fn decided_window(&self) -> Option<u64> {
         let report = self.rows.as_ref()?.report.as_ref();
         report.map(|r| r.window)
     }
@@ -96,20 +96,20 @@
     pub fn next_window(&self, first: u64) -> Option<u64> {
         let rows = self.rows.as_ref()?;
         let decided = rows.report.as_ref().map_or(0, |r| r.window);
-        Some(first.max(decided.max(self.done).saturating_add(1)))
+        Some(first.max(decided.max(self.done_window).saturating_add(1)))
     }
 
     /// The report that is written and not through.
     pub fn pending(&self) -> Option<&UsageReport> {
         let report = self.rows.as_ref()?.report.as_ref();
-        report.filter(|r| r.window > self.done)
+        report.filter(|r| r.window > self.done_window)
     }
 
     /// What to do, if reports of windows up to `ready` may be decided and `first` is the
     /// first of which this host could know anything.
-    pub fn next(&self, first: u64, ready: Option<u64>, now: Instant) -> Action {
-        if ready.is_none_or(|ready| ready <= self.done) && self.pending().is_none() {
-            return Action::Rest;
+    pub fn next_action(&self, first: u64, ready: Option<u64>, now: Instant) -> Action {
+        if ready.is_none_or(|ready| ready <= self.done_window) && self.pending().is_none() {
+            return Action::Idle;
         }
         let Some(rows) = &self.rows else {
             return Action::Read;
@@ -123,7 +123,7 @@
                 token: held.token,
                 report: report.clone(),
             },
-            (None, _) if window.is_none() => Action::Rest,
+            (None, _) if window.is_none() => Action::Idle,
             _ => self.write(rows, window, now),
         }
     }
@@ -135,18 +135,18 @@
             version: rows.version,
             now_ms: rows.now_ms.saturating_add(elapsed.as_millis() as u64),
         };
-        match lease::turn(Duty::Usage, &read, &self.name, self.gap) {
-            Turn::Wait(pause) => Action::Wait(pause),
-            Turn::Take(lease) => Action::Write {
+        match lease::decide(Duty::Usage, &read, &self.name, self.gap) {
+            Decision::Wait(pause) => Action::Wait(pause),
+            Decision::Take(lease) => Action::Write {
                 lease,
-                over: rows.version,
+                expected_version: rows.version,
                 window,
             },
         }
     }
 
     /// Notes a read that was asked for at a time.
-    pub fn was_read(&mut self, read: UsageRead, asked_at: Instant) {
+    pub fn on_read(&mut self, read: UsageRead, asked_at: Instant) {
         self.rows = Some(Rows {
             lease: read.lease,
             version: read.version,
@@ -157,14 +157,14 @@
     }
 
     /// Notes a write that was asked for at a time and took effect.
-    pub fn was_written(
+    pub fn on_written(
         &mut self,
         lease: Lease,
         report: Option<UsageReport>,
         written: Written,
         asked_at: Instant,
     ) {
-        self.held = Some(Held::new(Duty::Usage, lease.token, asked_at));
+        self.held = Some(HeldLease::new(Duty::Usage, lease.token, asked_at));
         let before = self.rows.take();
         self.rows = Some(Rows {
             lease: Some(lease),
@@ -176,7 +176,7 @@
     }
 
     /// Forgets the rows: they were written by another, or a write's outcome isn't known.
-    pub fn forget(&mut self) {
+    pub fn invalidate(&mut self) {
         self.rows = None;
         self.held = None;
     }
--- a/crates/gateway/src/duty/usage/ledger.rs
+++ b/crates/gateway/src/duty/usage/ledger.rs
@@ -1,7 +1,7 @@
 //! Requests of all processes that began to run, as a collector knows them.
 
-use super::begun::{Entry, KEPT};
 use super::message::Told;
+use super::request_log::{Entry, RETENTION};
 use platform::usage::TenantCount;
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -13,14 +13,14 @@
 
 /// What one start of a process has told.
 #[derive(Debug)]
-struct Log {
+struct ProcessLog {
     ip: IpAddr,
     start: u32,
     /// Number of the next request that isn't known.
     next: u64,
     /// When it last told all that it had.
-    whole_at: Option<Instant>,
-    heard_at: Instant,
+    complete_at: Option<Instant>,
+    last_heard_at: Instant,
     /// In the order in which they were told.
     entries: VecDeque<Entry>,
     /// Requests that it had dropped before they were asked for.
@@ -40,14 +40,14 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     /// Sorted by address and start.
-    logs: Vec<Log>,
+    logs: Vec<ProcessLog>,
     /// Sorted; the entries share them.
     names: Vec<Arc<str>>,
 }
 
 /// Counts of a span of time, and how far they can be trusted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Counted {
+pub struct WindowCount {
     /// Requests by tenant, sorted by name.
     pub counts: Vec<TenantCount>,
     /// Requests in all.
@@ -62,7 +62,7 @@
     /// Where a process stands.
     pub fn position(&self, ip: IpAddr) -> Position {
         let logs = self.logs.iter().filter(|log| log.ip == ip);
-        let newest = logs.max_by_key(|log| log.heard_at);
+        let newest = logs.max_by_key(|log| log.last_heard_at);
         newest.map_or_else(Position::default, |log| Position {
             start: log.start,
             next: log.next,
@@ -71,59 +71,59 @@
 
     /// Takes what a process told, as of a time by this process's clock. Says whether it has
     /// more to tell.
-    pub fn take(&mut self, ip: IpAddr, told: &Told, at: Instant) -> bool {
-        let Some(slot) = self.slot(ip, told.start, at) else {
+    pub fn add(&mut self, ip: IpAddr, told: &Told, at: Instant) -> bool {
+        let Some(log_index) = self.log_index(ip, told.start, at) else {
             return false;
         };
-        let known = self.logs[slot].next;
+        let known = self.logs[log_index].next;
         if told.from > known {
-            self.logs[slot].missed += told.from - known;
-            self.logs[slot].next = told.from;
+            self.logs[log_index].missed += told.from - known;
+            self.logs[log_index].next = told.from;
         }
-        let is_known = self.logs[slot].next.saturating_sub(told.from) as usize;
-        for begun in told.begun.iter().skip(is_known) {
+        let known_count = self.logs[log_index].next.saturating_sub(told.from) as usize;
+        for begun in told.begun.iter().skip(known_count) {
             let Some(name) = told.tenants.get(usize::from(begun.tenant)) else {
                 continue;
             };
-            let tenant = self.name(name);
+            let tenant = self.intern(name);
             let ago = Duration::from_millis(begun.ago_ms.into());
             let at = at.checked_sub(ago).unwrap_or(at);
-            self.logs[slot].entries.push_back(Entry { at, tenant });
+            self.logs[log_index].entries.push_back(Entry { at, tenant });
         }
-        let log = &mut self.logs[slot];
+        let log = &mut self.logs[log_index];
         log.next = log.next.max(told.from + told.begun.len() as u64);
-        log.heard_at = log.heard_at.max(at);
+        log.last_heard_at = log.last_heard_at.max(at);
         let has_more = log.next < told.next;
         if !has_more {
-            log.whole_at = log.whole_at.max(Some(at));
+            log.complete_at = log.complete_at.max(Some(at));
         }
         has_more
     }
 
-    fn slot(&mut self, ip: IpAddr, start: u32, at: Instant) -> Option<usize> {
+    fn log_index(&mut self, ip: IpAddr, start: u32, at: Instant) -> Option<usize> {
         let found = self
             .logs
             .binary_search_by_key(&(ip, start), |log| (log.ip, log.start));
         match found {
-            Ok(slot) => Some(slot),
+            Ok(log_index) => Some(log_index),
             Err(_) if self.logs.len() >= MAX_LOGS => None,
-            Err(slot) => {
-                let log = Log {
+            Err(log_index) => {
+                let log = ProcessLog {
                     ip,
                     start,
                     next: 0,
-                    whole_at: None,
-                    heard_at: at,
+                    complete_at: None,
+                    last_heard_at: at,
                     entries: VecDeque::new(),
                     missed: 0,
                 };
-                self.logs.insert(slot, log);
-                Some(slot)
+                self.logs.insert(log_index, log);
+                Some(log_index)
             }
         }
     }
 
-    fn name(&mut self, name: &str) -> Arc<str> {
+    fn intern(&mut self, name: &str) -> Arc<str> {
         match self.names.binary_search_by(|known| (**known).cmp(name)) {
             Ok(at) => self.names[at].clone(),
             Err(at) => {
@@ -134,7 +134,7 @@
     }
 
     /// Counts the requests that began from one time until before another.
-    pub fn count(&self, from: Instant, until: Instant) -> Counted {
+    pub fn count(&self, from: Instant, until: Instant) -> WindowCount {
         let entries = self.logs.iter().flat_map(|log| &log.entries);
         let within = entries.filter(|e| e.at >= from && e.at < until);
         let mut names: Vec<&Arc<str>> = within.map(|e| &e.tenant).collect();
@@ -149,8 +149,8 @@
                 }),
             }
         }
-        let (hosts, silent) = self.heard(from, until);
-        Counted {
+        let (hosts, silent) = self.coverage(from, until);
+        WindowCount {
             counts,
             requests: names.len() as u64,
             hosts,
@@ -160,12 +160,16 @@
 
     /// Processes that have told all of a span of time, and those that were heard in it and
     /// haven't.
-    pub fn heard(&self, from: Instant, until: Instant) -> (usize, usize) {
-        let is_whole = |log: &&Log| log.whole_at.is_some_and(|at| at >= until);
-        let whole = self.logs.iter().filter(is_whole).count();
+    pub fn coverage(&self, from: Instant, until: Instant) -> (usize, usize) {
+        let is_complete = |log: &&ProcessLog| log.complete_at.is_some_and(|at| at >= until);
+        let complete = self.logs.iter().filter(is_complete).count();
         // Who was last heard before the span had no part in it.
-        let heard = self.logs.iter().filter(|log| log.heard_at >= from).count();
-        (whole, heard.saturating_sub(whole))
+        let heard = self
+            .logs
+            .iter()
+            .filter(|log| log.last_heard_at >= from)
+            .count();
+        (complete, heard.saturating_sub(complete))
     }
 
     /// When the earliest request began that is known.
@@ -175,15 +179,15 @@
     }
 
     /// When a process was last heard.
-    pub fn heard_at(&self, ip: IpAddr) -> Option<Instant> {
+    pub fn last_heard_at(&self, ip: IpAddr) -> Option<Instant> {
         let logs = self.logs.iter().filter(|log| log.ip == ip);
-        logs.map(|log| log.heard_at).max()
+        logs.map(|log| log.last_heard_at).max()
     }
 
     /// Drops what is too old to be reported; gives how many requests had been dropped by
     /// their processes before this one heard of them.
-    pub fn forget(&mut self, now: Instant) -> u64 {
-        let is_kept = |at: Instant| now.saturating_duration_since(at) <= KEPT;
+    pub fn expire(&mut self, now: Instant) -> u64 {
+        let is_kept = |at: Instant| now.saturating_duration_since(at) <= RETENTION;
         let mut missed = 0;
         for log in &mut self.logs {
             while log.entries.front().is_some_and(|e| !is_kept(e.at)) {
@@ -191,7 +195,7 @@
             }
             missed += std::mem::take(&mut log.missed);
         }
-        self.logs.retain(|log| is_kept(log.heard_at));
+        self.logs.retain(|log| is_kept(log.last_heard_at));
         self.names.retain(|name| Arc::strong_count(name) > 1);
         missed
     }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -8,12 +8,12 @@
 use bytes::{Bytes, BytesMut};
 
 /// Longest event that is held. Beyond it the stream counts as malformed.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Cuts a stream into runs of whole events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
-    held: BytesMut,
+pub struct EventSplitter {
+    partial: BytesMut,
     last_id: Option<u64>,
 }
 
@@ -26,11 +26,11 @@
     Gap,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// A cutter for a stream that goes on after an event.
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
-            held: BytesMut::new(),
+            partial: BytesMut::new(),
             last_id,
         }
     }
@@ -42,32 +42,32 @@
 
     /// Whether a part of an event is held.
     pub fn is_mid_event(&self) -> bool {
-        !self.held.is_empty()
+        !self.partial.is_empty()
     }
 
     /// Adds bytes; gives the whole events that can be passed on now. Events that
     /// were passed on before, by their ids, are left out.
     pub fn push(&mut self, data: &[u8]) -> Result<Bytes, BadStream> {
-        self.held.extend_from_slice(data);
+        self.partial.extend_from_slice(data);
         let mut out = BytesMut::new();
         // What is cut off before a bad event isn't passed on with an error.
-        let before = self.last_id;
-        while let Some(end) = event_end(&self.held) {
-            let event = self.held.split_to(end);
+        let last_id_before = self.last_id;
+        while let Some(end) = event_end(&self.partial) {
+            let event = self.partial.split_to(end);
             if self
-                .is_next(&event)
-                .inspect_err(|_| self.last_id = before)?
+                .is_new_event(&event)
+                .inspect_err(|_| self.last_id = last_id_before)?
             {
                 out.unsplit(event);
             }
         }
-        if self.held.len() > MAX_EVENT {
+        if self.partial.len() > MAX_EVENT_BYTES {
             return Err(BadStream::TooLong);
         }
         Ok(out.freeze())
     }
 
-    fn is_next(&mut self, event: &[u8]) -> Result<bool, BadStream> {
+    fn is_new_event(&mut self, event: &[u8]) -> Result<bool, BadStream> {
         let Some(id) = event_id(event) else {
             return Ok(true);
         };
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -6,7 +6,7 @@
 pub mod registry;
 pub mod unreadable;
 
-pub use registry::{follow_registry, merge, merge_peers};
+pub use registry::{follow_registry, merge_from_peer, merge_from_store};
 
 use crate::routes::RouteTable;
 use crate::state::Gateway;
@@ -19,7 +19,7 @@
 /// Processes that read the store often. The others hear from them and read it
 /// themselves only when these fall silent: each call is paid for, and 31
 /// processes that all read made it the dearest of all prices (0.042 of the worth).
-const READERS: u32 = 2;
+const FREQUENT_READERS: u32 = 2;
 /// How long the store may hold a reader's read of the configuration. A read on a
 /// connection that was cut is noticed after this time and [`ANSWER_TIMEOUT`],
 /// within the time after a cut in which bounds don't count yet (3 s).
@@ -45,8 +45,8 @@
 /// Whether the store answers one kind of read.
 pub(crate) struct Dependency {
     name: &'static str,
-    last_good: Instant,
-    last_bad: Instant,
+    last_success: Instant,
+    last_failure: Instant,
     is_lost: bool,
     /// Reads that failed in a row.
     failures: u32,
@@ -56,8 +56,8 @@
     pub(crate) fn new(name: &'static str) -> Self {
         Self {
             name,
-            last_good: Instant::now(),
-            last_bad: Instant::now(),
+            last_success: Instant::now(),
+            last_failure: Instant::now(),
             is_lost: false,
             failures: 0,
         }
@@ -65,24 +65,24 @@
 
     /// Notes a good read; if the store was lost before it, gives the time of the
     /// last read that failed.
-    pub(crate) fn good(&mut self) -> Option<Instant> {
+    pub(crate) fn record_success(&mut self) -> Option<Instant> {
         self.failures = 0;
         let lost = std::mem::take(&mut self.is_lost);
         if lost {
             emit(&Event::DependencyBack {
                 dependency: self.name,
-                lost_ms: self.last_good.elapsed().as_millis() as u64,
+                lost_ms: self.last_success.elapsed().as_millis() as u64,
             });
         }
-        self.last_good = Instant::now();
-        lost.then_some(self.last_bad)
+        self.last_success = Instant::now();
+        lost.then_some(self.last_failure)
     }
 
     /// Notes a failed read, and says so when the store is lost by it.
-    pub(crate) fn bad(&mut self, e: &StoreError) {
-        self.last_bad = Instant::now();
+    pub(crate) fn record_failure(&mut self, e: &StoreError) {
+        self.last_failure = Instant::now();
         self.failures = self.failures.saturating_add(1);
-        if !self.is_lost && self.last_good.elapsed() >= LOST_AFTER {
+        if !self.is_lost && self.last_success.elapsed() >= LOST_AFTER {
             self.is_lost = true;
             emit(&Event::DependencyLost {
                 dependency: self.name,
@@ -93,29 +93,29 @@
 
     /// Waits before the next try.
     pub(crate) async fn pause(&self, gateway: &Gateway) {
-        let is_reader = gateway.rank() < READERS;
+        let is_reader = gateway.rank() < FREQUENT_READERS;
         tokio::time::sleep(retry_pause(self.failures, is_reader, fastrand::f64())).await;
     }
 }
 
 /// Pause after so many reads that failed in a row, with a number from 0 to 1 that
 /// chance draws.
-pub fn retry_pause(failures: u32, is_reader: bool, chance: f64) -> Duration {
+pub fn retry_pause(failures: u32, is_reader: bool, jitter: f64) -> Duration {
     let doublings = match is_reader {
         true => 0,
         false => failures.saturating_sub(1).min(RETRY_DOUBLINGS),
     };
-    (RETRY_PAUSE * 2u32.pow(doublings)).mul_f64(1.0 + chance)
+    (RETRY_PAUSE * 2u32.pow(doublings)).mul_f64(1.0 + jitter)
 }
 
 /// The store's client for the settings in use, made anew when they change.
-pub(crate) struct Client {
+pub(crate) struct StoreClient {
     gateway: Arc<Gateway>,
     addr: SocketAddr,
     store: Store,
 }
 
-impl Client {
+impl StoreClient {
     pub(crate) fn new(gateway: &Arc<Gateway>) -> Self {
         let addr = gateway.host().store;
         Self {
@@ -135,7 +135,7 @@
 
 /// Follows the configuration until the process ends.
 pub async fn follow_config(gateway: Arc<Gateway>) {
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/configuration");
     let mut from = Feed::Start;
     gateway
@@ -143,21 +143,21 @@
         .finished(gateway.host().is_first_start)
         .await;
     loop {
-        wait_until_reader(&gateway, gateway.config_version() == 0).await;
-        let wait = held_for(&from, config_wait(&gateway));
+        wait_until_feed_reader(&gateway, gateway.config_version() == 0).await;
+        let wait = hold_time(&from, config_wait(&gateway));
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().config(&from, wait, timeout).await {
             Ok(change) => {
-                dependency.good();
-                tell_malformed("configuration", change.malformed);
+                dependency.record_success();
+                log_malformed("configuration", change.malformed);
                 if let Some(newest) = change.items.into_iter().max_by_key(|c| c.version) {
-                    put_in_force(&gateway, newest, "store");
+                    apply_config(&gateway, newest, "store");
                 }
                 from = change.next;
             }
             Err(StoreError::HistoryGone) => from = Feed::Start,
             Err(e) => {
-                dependency.bad(&e);
+                dependency.record_failure(&e);
                 dependency.pause(&gateway).await;
             }
         }
@@ -166,7 +166,7 @@
 
 /// Waits until this process should read a table from the store: it is a feed reader, this is
 /// its initial read of the table, or it had to read the registry from the store itself.
-pub(crate) async fn wait_until_reader(gateway: &Gateway, is_initial: bool) {
+pub(crate) async fn wait_until_feed_reader(gateway: &Gateway, is_initial: bool) {
     while !is_initial && !gateway.is_feed_reader() {
         tokio::select! {
             () = gateway.registry_fallback.notified() => return,
@@ -178,7 +178,7 @@
 /// How long the store may hold a read from where a reader stands. One of a whole table isn't
 /// held: taken for held, a host that started while the store was silent waited 30.8 s for an
 /// answer that never came, and knew nothing for so long after the store's return.
-pub(crate) fn held_for(from: &Feed, longest: Duration) -> Duration {
+pub(crate) fn hold_time(from: &Feed, longest: Duration) -> Duration {
     match from {
         Feed::Since(_) => longest,
         Feed::Start | Feed::Rest { .. } => Duration::ZERO,
@@ -186,7 +186,7 @@
 }
 
 fn config_wait(gateway: &Gateway) -> Duration {
-    if gateway.rank() < READERS {
+    if gateway.rank() < FREQUENT_READERS {
         CONFIG_WAIT
     } else {
         LONG_CONFIG_WAIT
@@ -194,7 +194,7 @@
 }
 
 /// Puts a configuration in force, if it is newer than the one that is.
-pub fn put_in_force(gateway: &Gateway, config: Config, source: &str) {
+pub fn apply_config(gateway: &Gateway, config: Config, source: &str) {
     let over = gateway.config_version();
     let version = config.version;
     if version <= over {
@@ -204,7 +204,7 @@
     let table = RouteTable::new(config, &mut gateway.fleet(), before.as_deref());
     let routes = table.len();
     let tenants = table.tenants();
-    let (keys, removed) = tenants.map_or((0, 0), |t| (t.keys(), t.removed_by(version)));
+    let (keys, removed) = tenants.map_or((0, 0), |t| (t.key_count(), t.removed_count(version)));
     let tenants = tenants.map(|t| t.len());
     gateway.set_routes(table);
     emit(&Event::ConfigInForce {
@@ -218,7 +218,7 @@
     });
 }
 
-fn tell_malformed(what: &str, malformed: Vec<String>) {
+fn log_malformed(what: &str, malformed: Vec<String>) {
     for why in malformed {
         emit(&Event::Undecodable { what, why });
     }
--- a/crates/gateway/src/follow/registry.rs
+++ b/crates/gateway/src/follow/registry.rs
@@ -3,7 +3,7 @@
 //! Its changes are fetched at intervals by two processes. The others hear from them and
 //! fetch it themselves when these fall silent.
 
-use super::{ANSWER_TIMEOUT, Client, Dependency, READERS, tell_malformed};
+use super::{ANSWER_TIMEOUT, Dependency, FREQUENT_READERS, StoreClient, log_malformed};
 use crate::fleet::{Fleet, Merged, UpstreamKey};
 use crate::missing::Missing;
 use crate::state::Gateway;
@@ -15,34 +15,34 @@
 
 /// Age of the registry at which a reader reads it anew: with an answer's time,
 /// well under the 2 s within which a leaving upstream must get no new request.
-const REGISTRY_AGE: Duration = Duration::from_millis(600);
+const MAX_REGISTRY_AGE: Duration = Duration::from_millis(600);
 /// Age at which the others read it, and what each place adds, so that one of
 /// them reads first and the rest hear of it.
-const OLD_REGISTRY_AGE: Duration = Duration::from_millis(1000);
-const REGISTRY_AGE_PER_PLACE: Duration = Duration::from_millis(100);
+const FALLBACK_REGISTRY_AGE: Duration = Duration::from_millis(1000);
+const FALLBACK_AGE_PER_PLACE: Duration = Duration::from_millis(100);
 /// Places beyond this one add nothing more.
 const MAX_PLACES: u32 = 5;
 /// Processes of each zone that read a long registry from the store when all start.
-const FIRST_READERS: u32 = 2;
+const STARTUP_READERS: u32 = 2;
 /// How long the others wait for a peer that tells them, and what each place in the zone
 /// adds: 3,000 upstreams are 250 KB, 0.1 s over a link of 20 Mbit/s, and four processes
 /// ask the same one, three levels deep.
-const FIRST_WAIT: Duration = Duration::from_millis(1500);
-const FIRST_WAIT_PER_PLACE: Duration = Duration::from_millis(50);
+const STARTUP_WAIT: Duration = Duration::from_millis(1500);
+const STARTUP_WAIT_PER_PLACE: Duration = Duration::from_millis(50);
 /// Pause between two looks whether one has.
-const FIRST_LOOK_EVERY: Duration = Duration::from_millis(20);
+const STARTUP_CHECK_EVERY: Duration = Duration::from_millis(20);
 
 /// Why an upstream is out whose entry was removed, in the log.
-const GONE: &str = "not registered";
+const NOT_REGISTERED: &str = "not registered";
 
 /// Follows the registry until the process ends.
 pub async fn follow_registry(gateway: Arc<Gateway>) {
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/registry");
     let mut from = Feed::Start;
     // Pages of a table that is being read in full, and when the first was asked for.
     let mut pages = Vec::new();
-    let mut first_asked: Option<(Instant, u64)> = None;
+    let mut first_page: Option<(Instant, u64)> = None;
     // Whether peers were given time to tell a long registry at the start.
     let mut has_waited = false;
     gateway
@@ -51,25 +51,25 @@
         .await;
     if gateway.registry().version > 0 {
         from = Feed::Since(gateway.registry().version);
-        wait_until_old(&gateway).await;
+        wait_until_stale(&gateway).await;
     }
     loop {
         let asked_at = Instant::now();
         match client.store().upstreams(&from, ANSWER_TIMEOUT).await {
             Ok(change) => {
-                let (asked_at, store_ms) = *first_asked.get_or_insert((asked_at, change.now_ms));
-                if let Some(last_bad) = dependency.good() {
-                    gateway.missing().open(last_bad);
+                let (asked_at, store_ms) = *first_page.get_or_insert((asked_at, change.now_ms));
+                if let Some(last_failure) = dependency.record_success() {
+                    gateway.missing().open(last_failure);
                 }
-                tell_malformed("registry", change.malformed);
+                log_malformed("registry", change.malformed);
                 pages.extend(change.items);
                 let is_whole = !matches!(from, Feed::Since(_));
                 from = change.next;
                 if matches!(from, Feed::Rest { .. }) {
-                    let is_first = gateway.registry().version == 0 && !has_waited;
-                    if is_first && wait_for_peers(&gateway).await {
+                    let is_initial = gateway.registry().version == 0 && !has_waited;
+                    if is_initial && wait_for_peers(&gateway).await {
                         pages.clear();
-                        first_asked = None;
+                        first_page = None;
                         from = Feed::Since(gateway.registry().version);
                     }
                     has_waited = true;
@@ -77,21 +77,21 @@
                 }
                 let changes = std::mem::take(&mut pages);
                 let now = Instant::now();
-                merge(&gateway, changes, is_whole, change.version, now);
-                gateway.note_read(change.version, asked_at, store_ms);
-                first_asked = None;
-                if gateway.rank() >= READERS {
+                merge_from_store(&gateway, changes, is_whole, change.version, now);
+                gateway.record_read(change.version, asked_at, store_ms);
+                first_page = None;
+                if gateway.rank() >= FREQUENT_READERS {
                     gateway.registry_fallback.notify_waiters();
                 }
             }
             Err(StoreError::HistoryGone) => {
                 from = Feed::Start;
                 pages.clear();
-                first_asked = None;
+                first_page = None;
                 continue;
             }
             Err(e) => {
-                dependency.bad(&e);
+                dependency.record_failure(&e);
                 dependency.pause(&gateway).await;
                 // Only the page that failed is read again: a table of thousands of
                 // rows would else never be whole while the store turns calls down.
@@ -103,7 +103,7 @@
         let version = gateway.registry().version;
         if version > 0 {
             from = Feed::Since(version);
-            wait_until_old(&gateway).await;
+            wait_until_stale(&gateway).await;
         }
     }
 }
@@ -114,26 +114,26 @@
 async fn wait_for_peers(gateway: &Gateway) -> bool {
     let started_at = Instant::now();
     while gateway.registry().version == 0 {
-        let longest = match gateway.place_to_read() {
-            Some(place) if place < FIRST_READERS => return false,
-            Some(place) => FIRST_WAIT + FIRST_WAIT_PER_PLACE * place,
-            None => FIRST_WAIT,
+        let longest = match gateway.startup_read_place() {
+            Some(place) if place < STARTUP_READERS => return false,
+            Some(place) => STARTUP_WAIT + STARTUP_WAIT_PER_PLACE * place,
+            None => STARTUP_WAIT,
         };
         if started_at.elapsed() >= longest {
             return false;
         }
-        tokio::time::sleep(FIRST_LOOK_EVERY).await;
+        tokio::time::sleep(STARTUP_CHECK_EVERY).await;
     }
     true
 }
 
 /// Waits until this process should read the registry itself.
-async fn wait_until_old(gateway: &Gateway) {
+async fn wait_until_stale(gateway: &Gateway) {
     loop {
         let rank = gateway.rank();
-        let bound = match rank.checked_sub(READERS) {
-            None => REGISTRY_AGE,
-            Some(place) => OLD_REGISTRY_AGE + REGISTRY_AGE_PER_PLACE * place.min(MAX_PLACES),
+        let bound = match rank.checked_sub(FREQUENT_READERS) {
+            None => MAX_REGISTRY_AGE,
+            Some(place) => FALLBACK_REGISTRY_AGE + FALLBACK_AGE_PER_PLACE * place.min(MAX_PLACES),
         };
         let mut left = bound.saturating_sub(gateway.registry_age());
         if let Some(until) = gateway.missing().until() {
@@ -150,7 +150,7 @@
 /// Takes changes of the registry from the store; a whole read also tells by
 /// absence. A read that is older than what a peer has told since is left out: it
 /// would call upstreams back whose removal is never told again.
-pub fn merge(
+pub fn merge_from_store(
     gateway: &Arc<Gateway>,
     changes: Vec<Registration>,
     is_whole: bool,
@@ -160,7 +160,7 @@
     let is_old = version < gateway.registry().version;
     let gone = match is_old {
         true => Vec::new(),
-        false => take_present(gateway, changes, is_whole, version),
+        false => apply_changes(gateway, changes, is_whole, version),
     };
     let mut missing = gateway.missing();
     let mut gone = match missing.is_open(now) {
@@ -170,7 +170,7 @@
     gone.append(&mut missing.take_overdue(now));
     drop(missing);
     for id in &gone {
-        remove(gateway, id, GONE, version);
+        remove(gateway, id, NOT_REGISTERED, version);
     }
     if !is_old {
         gateway.set_registry(version);
@@ -193,7 +193,7 @@
 /// Takes what a peer says of the registry, if it is newer than ours; a whole one also
 /// tells by absence. Peers tell of theirs only while they hold nothing back, so what
 /// is missing there is gone.
-pub fn merge_peers(
+pub fn merge_from_peer(
     gateway: &Arc<Gateway>,
     changes: Vec<Registration>,
     is_whole: bool,
@@ -202,26 +202,26 @@
     if version <= gateway.registry().version {
         return;
     }
-    let gone = take_present(gateway, changes, is_whole, version);
+    let gone = apply_changes(gateway, changes, is_whole, version);
     for id in &gone {
         gateway.missing().found(id);
     }
     for id in &gone {
-        remove(gateway, id, GONE, version);
+        remove(gateway, id, NOT_REGISTERED, version);
     }
     gateway.set_registry(version);
     gateway.fleet().see_starts();
 }
 
 /// Takes the upstreams that are present; gives those that are gone.
-fn take_present(
+fn apply_changes(
     gateway: &Arc<Gateway>,
     changes: Vec<Registration>,
     is_whole: bool,
     version: u64,
 ) -> Vec<String> {
     let mut gone = if is_whole {
-        absent(gateway, &changes)
+        absent_ids(gateway, &changes)
     } else {
         Vec::new()
     };
@@ -230,14 +230,14 @@
             Registration::Present(instance) => {
                 gateway.missing().found(&instance.id);
                 gone.retain(|id| *id != instance.id);
-                add(gateway, instance, version, &gateway.upstream_bytes);
+                merge_instance(gateway, instance, version, &gateway.upstream_bytes);
             }
             Registration::Removed { id } => gone.push(id),
             Registration::Unreadable(row) => {
                 // Its entry is there, so it can't come back as one that lapsed may.
                 gateway.missing().found(&row.id);
                 gone.retain(|id| *id != row.id);
-                take_out(gateway, &row, version);
+                remove_unreadable(gateway, &row, version);
             }
         }
     }
@@ -245,7 +245,7 @@
 }
 
 /// Upstreams that are known and don't stand in a whole read of the registry.
-fn absent(gateway: &Gateway, read: &[Registration]) -> Vec<String> {
+fn absent_ids(gateway: &Gateway, read: &[Registration]) -> Vec<String> {
     let present = read.iter().filter_map(|r| match r {
         Registration::Present(instance) => Some(instance.id.as_str()),
         Registration::Removed { .. } | Registration::Unreadable(_) => None,
@@ -258,15 +258,15 @@
     ids.filter(|id| !is_read(id)).collect()
 }
 
-fn add(gateway: &Gateway, instance: Instance, registry: u64, meter: &Meter) {
+fn merge_instance(gateway: &Gateway, instance: Instance, registry: u64, meter: &Meter) {
     let (id, row) = (instance.id.clone(), instance.row);
     let start = instance.start;
     let mut fleet = gateway.fleet();
     let merged = fleet.merge(instance, meter);
     match merged {
-        Merged::Added(key) => tell_added(&fleet, key, registry),
-        Merged::Restarted { key, before } => tell_restarted(&fleet, key, before, registry),
-        Merged::Draining(key) => tell_leaving(&fleet, key, "draining", registry),
+        Merged::Added(key) => log_added(&fleet, key, registry),
+        Merged::Restarted { key, before } => log_restarted(&fleet, key, before, registry),
+        Merged::Draining(key) => start_leaving(&fleet, key, "draining", registry),
         Merged::Restaged(key) => {
             let Some(u) = fleet.get(key) else { return };
             emit(&Event::StageChanged {
@@ -288,14 +288,14 @@
         Merged::Startless => {
             drop(fleet);
             let why = Unreadable::Start;
-            take_out(gateway, &UnreadableRow { id, row, why }, registry);
+            remove_unreadable(gateway, &UnreadableRow { id, row, why }, registry);
             return;
         }
     }
     gateway.history().note(registry, &id);
 }
 
-fn tell_added(fleet: &Fleet, key: UpstreamKey, registry: u64) {
+fn log_added(fleet: &Fleet, key: UpstreamKey, registry: u64) {
     let Some(u) = fleet.get(key) else { return };
     emit(&Event::UpstreamAdded {
         upstream: &u.instance.id,
@@ -308,7 +308,7 @@
     });
 }
 
-fn tell_restarted(fleet: &Fleet, key: UpstreamKey, before: Option<Start>, registry: u64) {
+fn log_restarted(fleet: &Fleet, key: UpstreamKey, before: Option<Start>, registry: u64) {
     let Some(u) = fleet.get(key) else { return };
     emit(&Event::UpstreamRestarted {
         upstream: &u.instance.id,
@@ -320,7 +320,7 @@
     });
 }
 
-fn tell_leaving(fleet: &Fleet, key: UpstreamKey, why: &str, registry: u64) {
+fn start_leaving(fleet: &Fleet, key: UpstreamKey, why: &str, registry: u64) {
     let Some(u) = fleet.get(key) else { return };
     u.pool.close_idle();
     emit(&Event::UpstreamLeaving {
@@ -332,9 +332,9 @@
 }
 
 /// Takes out the upstream of a row that names none, unless a newer row does.
-fn take_out(gateway: &Gateway, row: &UnreadableRow, registry: u64) {
+fn remove_unreadable(gateway: &Gateway, row: &UnreadableRow, registry: u64) {
     let metrics = &gateway.metrics;
-    gateway.unreadable().tell(row, metrics, Instant::now());
+    gateway.unreadable().report(row, metrics, Instant::now());
     let is_newer = {
         let fleet = gateway.fleet();
         let known = fleet.find(&row.id).and_then(|key| fleet.get(key));
@@ -348,7 +348,7 @@
 fn remove(gateway: &Gateway, id: &str, why: &str, registry: u64) {
     let mut fleet = gateway.fleet();
     if let Some(key) = fleet.find(id) {
-        tell_leaving(&fleet, key, why, registry);
+        start_leaving(&fleet, key, why, registry);
         fleet.remove(key);
         gateway.history().note(registry, id);
     }
--- a/crates/gateway/src/follow/unreadable.rs
+++ b/crates/gateway/src/follow/unreadable.rs
@@ -7,18 +7,18 @@
 /// Rows that are remembered as told, at 16 bytes each: as many as the largest fleet has
 /// upstreams. Beyond, those with the lowest version yield, and are told again if a whole
 /// read finds them.
-const MAX_TOLD: usize = 4096;
+const MAX_ROWS: usize = 4096;
 /// Rows that are told in [`WINDOW`]. Operators need the first ones of a flood; the rest is
 /// counted, and the log has room for requests.
 const MAX_LINES: u32 = 20;
 /// Time over which lines are counted.
-const WINDOW: Duration = Duration::from_secs(1);
+const LINE_WINDOW: Duration = Duration::from_secs(1);
 /// Characters of a key that are logged.
-const MAX_KEY: usize = 64;
+const MAX_KEY_CHARS: usize = 64;
 
 /// What is to be done with a row that can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Telling {
+pub enum LogAction {
     /// Nothing: this version of it was told before.
     Known,
     /// It is counted; the log has had enough of them for now.
@@ -29,27 +29,27 @@
 
 /// Which rows were told.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct UnreadableLog {
     /// Hashes of keys with the versions that were told, sorted.
     rows: Vec<(u64, u64)>,
-    window: Option<Instant>,
+    window_started_at: Option<Instant>,
     lines: u32,
 }
 
-impl Told {
+impl UnreadableLog {
     /// Counts a row that can't be decoded and logs it, once for each of its versions.
-    pub fn tell(&mut self, row: &UnreadableRow, metrics: &Metrics, now: Instant) {
-        let telling = self.note(row, now);
-        if telling == Telling::Known {
+    pub fn report(&mut self, row: &UnreadableRow, metrics: &Metrics, now: Instant) {
+        let action = self.classify(row, now);
+        if action == LogAction::Known {
             return;
         }
         let reason = row.why.name();
         metrics.unreadable(reason);
-        if telling == Telling::Count {
+        if action == LogAction::Count {
             return;
         }
         emit(&Event::EntryUnreadable {
-            entry: row.id.chars().take(MAX_KEY).collect(),
+            entry: row.id.chars().take(MAX_KEY_CHARS).collect(),
             reason,
             why: row.why.to_string(),
             row: row.row,
@@ -57,13 +57,13 @@
     }
 
     /// Notes a row; says what is to be done with it.
-    pub fn note(&mut self, row: &UnreadableRow, now: Instant) -> Telling {
-        match (self.is_new(row), self.has_room(now)) {
-            (false, _) => Telling::Known,
-            (true, false) => Telling::Count,
+    pub fn classify(&mut self, row: &UnreadableRow, now: Instant) -> LogAction {
+        match (self.is_new(row), self.may_log(now)) {
+            (false, _) => LogAction::Known,
+            (true, false) => LogAction::Count,
             (true, true) => {
                 self.lines += 1;
-                Telling::CountAndLog
+                LogAction::CountAndLog
             }
         }
     }
@@ -85,7 +85,7 @@
     }
 
     fn shrink(&mut self) {
-        if self.rows.len() <= MAX_TOLD {
+        if self.rows.len() <= MAX_ROWS {
             return;
         }
         let rows = self.rows.iter().enumerate();
@@ -94,10 +94,12 @@
         }
     }
 
-    fn has_room(&mut self, now: Instant) -> bool {
-        let is_open = self.window.is_some_and(|since| now < since + WINDOW);
+    fn may_log(&mut self, now: Instant) -> bool {
+        let is_open = self
+            .window_started_at
+            .is_some_and(|since| now < since + LINE_WINDOW);
         if !is_open {
-            self.window = Some(now);
+            self.window_started_at = Some(now);
             self.lines = 0;
         }
         self.lines < MAX_LINES
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -40,7 +40,7 @@
 use std::time::{Duration, Instant};
 
 /// Pause between two looks at whether requests still run.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const IDLE_CHECK_EVERY: Duration = Duration::from_millis(50);
 
 quick_error! {
     /// Why a gateway can't start.
@@ -76,28 +76,28 @@
     tokio::spawn(division::orders::follow(gateway.clone()));
     duty::usage::exchange::start(&gateway)?;
     quota::start(&gateway)?;
-    tokio::spawn(duty::usage::follow(gateway.clone()));
-    tokio::spawn(duty::scaling::follow(gateway.clone()));
+    tokio::spawn(duty::usage::run(gateway.clone()));
+    tokio::spawn(duty::scaling::run(gateway.clone()));
     tokio::spawn(reload::follow_settings(gateway.clone(), path));
     let (drain, serving) = (Stop::default(), Stop::default());
     let server = Server {
-        head: gateway.heads.clone(),
+        head: gateway.head_limits.clone(),
         protocol: Protocol::Http1,
         drain: drain.clone(),
         stop: serving.clone(),
     };
     let served = gateway.clone();
     let server = tokio::spawn(server.run(listener, move |req| serve::serve(served.clone(), req)));
-    let ending = gateway.stopping().await;
+    let schedule = gateway.wait_for_stop().await;
     emit(&Event::Stopping { why: "signal" });
     quota::release_shares(&gateway);
-    tokio::time::sleep_until(ending.drain_at.into()).await;
+    tokio::time::sleep_until(schedule.drain_at.into()).await;
     drain.stop();
-    wait_until_idle(&gateway, ending.closed_at).await;
+    wait_until_idle(&gateway, schedule.close_at).await;
     serving.stop();
-    duty::usage::hand_on(&gateway).await;
+    duty::usage::hand_over(&gateway).await;
     let leave = peers::membership::leave(&gateway);
-    if tokio::time::timeout_at(ending.ends_at.into(), leave)
+    if tokio::time::timeout_at(schedule.exit_at.into(), leave)
         .await
         .is_err()
     {
@@ -107,7 +107,7 @@
         });
     }
     // Past the time the count below tells what is left.
-    let _ = tokio::time::timeout_at(ending.ends_at.into(), server).await;
+    let _ = tokio::time::timeout_at(schedule.exit_at.into(), server).await;
     exchange.stop();
     emit(&Event::Stopped {
         unfinished: gateway.running(),
@@ -120,6 +120,6 @@
 /// all are stopped in turn.
 async fn wait_until_idle(gateway: &Gateway, until: Instant) {
     while gateway.running() > 0 && Instant::now() < until {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(IDLE_CHECK_EVERY).await;
     }
 }
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -83,14 +83,14 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(ASK_EVERY) => {}
-            () = gateway.behind.notified() => {}
+            () = gateway.catch_up.notified() => {}
         }
         let now = Instant::now();
         match ahead(&gateway, |beat| beat.config, gateway.config_version()) {
             None => config_ahead = None,
             Some(ip) if now - *config_ahead.get_or_insert(now) >= config_delay(&gateway) => {
                 if let Some(config) = fetch::<Config>(&gateway, ip, CONFIG_PATH).await {
-                    follow::put_in_force(&gateway, config, "peer");
+                    follow::apply_config(&gateway, config, "peer");
                 }
             }
             Some(_) => {}
@@ -169,8 +169,8 @@
 /// Takes from all peers that this process hears how long answers take, from the stop signal
 /// on until it takes no more requests: each has seen a share of the slow ones.
 pub async fn take_all_durations(gateway: Arc<Gateway>) {
-    let ending = gateway.stopping().await;
-    while Instant::now() < ending.closed_at {
+    let ending = gateway.wait_for_stop().await;
+    while Instant::now() < ending.close_at {
         // At once: one that doesn't answer must not hold up what the others know.
         let asked = live(&gateway)
             .into_iter()
@@ -231,10 +231,10 @@
     let present = changes.present.into_iter().map(Registration::Present);
     let gone = changes.gone.into_iter();
     let gone = gone.map(|id| Registration::Removed { id });
-    follow::merge_peers(gateway, present.chain(gone).collect(), is_whole, version);
+    follow::merge_from_peer(gateway, present.chain(gone).collect(), is_whole, version);
     let ago = Duration::from_millis(read_ms_ago.into());
     if let Some(read_at) = asked_at.checked_sub(ago) {
-        gateway.note_read(version, read_at, store_ms);
+        gateway.record_read(version, read_at, store_ms);
     }
     let known = gateway.registry();
     let is_same = known.version > version || known.view == view;
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -3,7 +3,7 @@
 use crate::StartError;
 use crate::crashes;
 use crate::peers::{Beat, Load, Scope, catch_up};
-use crate::state::{Gateway, Registry};
+use crate::state::{Gateway, RegistryState};
 use net::server::bind;
 use net::{HeadLimits, Protocol, Server, Stop};
 use observe::{Event, emit};
@@ -122,11 +122,11 @@
         let now = Instant::now();
         crashes::hear(&gateway, &beat, now);
         if beat.registry > gateway.registry().version || beat.config > gateway.config_version() {
-            gateway.behind.notify_one();
+            gateway.catch_up.notify_one();
         }
         let read = now
             .checked_sub(Duration::from_millis(beat.registry_ms.into()))
-            .map(|read_at| Registry {
+            .map(|read_at| RegistryState {
                 version: beat.registry,
                 read_at,
                 store_ms: beat.registry_at_ms,
@@ -189,7 +189,7 @@
 /// What this process says for itself.
 fn own_beat(gateway: &Gateway, placements_within: Duration) -> Beat {
     let now = Instant::now();
-    let settled = gateway.settled_registry();
+    let settled = gateway.shareable_registry();
     let mut fleet = gateway.fleet();
     let mut loads: Vec<Load> = fleet.iter().filter_map(|(_, u)| u.load()).collect();
     loads.sort_unstable_by_key(|load| load.upstream);
--- a/crates/gateway/src/peers/first_look.rs
+++ b/crates/gateway/src/peers/first_look.rs
@@ -164,7 +164,7 @@
         peers.set_members(own, &snapshot.members, &mut gateway.fleet());
     }
     gateway.set_members_version(snapshot.members_version);
-    follow::put_in_force(gateway, snapshot.config, "peer");
+    follow::apply_config(gateway, snapshot.config, "peer");
     catch_up::take_changes(gateway, snapshot.registry, asked_at);
     crashes::take_recorded(gateway, &snapshot.crashes, Instant::now());
     true
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -1,6 +1,6 @@
 //! Who the peers are: a row in the store for each process.
 
-use crate::follow::{Client, Dependency, held_for, wait_until_reader};
+use crate::follow::{Dependency, StoreClient, hold_time, wait_until_feed_reader};
 use crate::peers::{first_look, zone_hash};
 use crate::state::Gateway;
 use observe::{Event, emit};
@@ -27,7 +27,7 @@
 
 /// Writes this process's row, and follows the others' until the process ends.
 pub async fn follow(gateway: Arc<Gateway>) {
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/processes");
     let mut from = Feed::Start;
     let mut is_written = false;
@@ -49,12 +49,12 @@
                 continue;
             }
         }
-        wait_until_reader(&gateway, !is_read).await;
-        let wait = held_for(&from, WAIT);
+        wait_until_feed_reader(&gateway, !is_read).await;
+        let wait = hold_time(&from, WAIT);
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().processes(&from, wait, timeout).await {
             Ok(change) => {
-                dependency.good();
+                dependency.record_success();
                 gateway.crashes.set_clock(change.now_ms);
                 for why in change.malformed {
                     let what = "processes";
@@ -90,7 +90,7 @@
             Err(StoreError::HistoryGone) => from = Feed::Start,
             Err(e) => {
                 gateway.startup_load.finish();
-                dependency.bad(&e);
+                dependency.record_failure(&e);
                 dependency.pause(&gateway).await;
             }
         }
@@ -100,7 +100,7 @@
 /// Writes this process's row; returns whether it is in the store.
 async fn write_row(
     gateway: &Arc<Gateway>,
-    client: &mut Client,
+    client: &mut StoreClient,
     dependency: &mut Dependency,
 ) -> bool {
     let host = gateway.host();
@@ -114,7 +114,7 @@
             true
         }
         Err(e) => {
-            dependency.bad(&e);
+            dependency.record_failure(&e);
             dependency.pause(gateway).await;
             false
         }
@@ -153,7 +153,7 @@
 /// nobody until a process on this host writes the row anew.
 pub async fn leave(gateway: &Arc<Gateway>) {
     let host = gateway.host();
-    let mut client = Client::new(gateway);
+    let mut client = StoreClient::new(gateway);
     let left = client.store().remove_process(&host.name, ANSWER_TIMEOUT);
     if let Err(e) = left.await {
         emit(&Event::DependencyLost {
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -15,7 +15,7 @@
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 /// Largest head.
-const MAX_HEAD: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 /// Longest that a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -23,7 +23,7 @@
 pub fn serve(gateway: &Arc<Gateway>, addr: SocketAddr) -> Result<(), StartError> {
     let listener = bind(addr).map_err(|e| StartError::Bind(addr, e))?;
     let server = Server {
-        head: HeadLimits::new(IDLE_TIMEOUT, MAX_HEAD),
+        head: HeadLimits::new(IDLE_TIMEOUT, MAX_HEAD_BYTES),
         protocol: Protocol::Http1,
         drain: Stop::default(),
         stop: Stop::default(),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -6,8 +6,8 @@
 use crate::crashes;
 use crate::crashes::broken::connection_broke;
 use crate::crashes::unanswered;
-use crate::events::EventCutter;
-use crate::serve::{Answer, Call, StreamedGuard};
+use crate::events::EventSplitter;
+use crate::serve::{AnswerProgress, Call, StreamGuard};
 use crate::state::LoadGuard;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -34,7 +34,7 @@
             if is_framed {
                 crashes::answered(&call);
             }
-            call.note_duration(&account, Duration::ZERO);
+            call.record_duration(&account, Duration::ZERO);
             account.close(Outcome::Answered, None);
             full(started.first.unwrap_or_default())
         }
@@ -43,8 +43,8 @@
             let is_resumable = call.target().route.kind == RouteKind::ResumableStream
                 && started.status.is_success();
             let pump = Pump {
-                _streamed: call.streamed(),
-                cutter: is_resumable.then(|| EventCutter::after(call.last_event)),
+                _streamed: call.track_stream(),
+                cutter: is_resumable.then(|| EventSplitter::after(call.last_event)),
                 call,
                 account,
                 tx,
@@ -73,12 +73,12 @@
     unsent: Option<Bytes>,
     /// How long that has waited for the client in all.
     waited: Duration,
-    _streamed: StreamedGuard,
+    _streamed: StreamGuard,
     /// Whether the answer's end shows: one that ends with its connection looks whole also
     /// when its upstream has crashed.
     is_framed: bool,
     /// For streams that may go on elsewhere.
-    cutter: Option<EventCutter>,
+    cutter: Option<EventSplitter>,
 }
 
 fn is_framed(headers: &HeaderMap) -> bool {
@@ -111,7 +111,7 @@
                     if self.is_framed {
                         crashes::answered(&self.call);
                     }
-                    self.call.note_duration(&self.account, self.waited);
+                    self.call.record_duration(&self.account, self.waited);
                     self.tx.finish().await;
                     self.account.close(Outcome::Answered, None);
                     return;
@@ -136,7 +136,7 @@
 
     /// Copies one upstream's bytes until they end or the time is up.
     async fn copy(&mut self, first: Option<Bytes>, mut rest: Rest) -> End {
-        let over = self.call.time_over(Answer::Begun);
+        let over = self.call.wait_for_timeout(AnswerProgress::Started);
         self.unsent = match first.map(|data| self.cut(data)) {
             None => None,
             Some(Ok(data)) => Some(data),
@@ -186,7 +186,11 @@
                 },
             }
         }
-        if self.cutter.as_ref().is_some_and(EventCutter::is_mid_event) {
+        if self
+            .cutter
+            .as_ref()
+            .is_some_and(EventSplitter::is_mid_event)
+        {
             return End::Broken("ended in the middle of an event".into());
         }
         End::Whole
@@ -223,9 +227,9 @@
         connection_broke(&self.call, &mut self.account);
         let cutter = self.cutter.as_ref()?;
         self.call.last_event = cutter.last_id().or(self.call.last_event);
-        self.cutter = Some(EventCutter::after(self.call.last_event));
+        self.cutter = Some(EventSplitter::after(self.call.last_event));
         let tried = tokio::select! {
-            tried = self.call.retry(&mut self.account) => tried,
+            tried = self.call.resume_stream(&mut self.account) => tried,
             () = self.tx.closed() => return None,
         };
         let Tried::Started(started) = tried? else {
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -10,26 +10,30 @@
 
 /// Time between looks at the file. Changes come a few times a day and take
 /// effect within seconds; a look is one small read.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const CHECK_EVERY: Duration = Duration::from_secs(2);
 
 /// Follows the settings file until the process ends.
 pub async fn follow_settings(gateway: Arc<Gateway>, path: PathBuf) {
     let mut hangup = signal(SignalKind::hangup()).expect("a handler for a plain signal can be set");
     loop {
-        let is_told = tokio::select! {
+        let is_signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(LOOK_EVERY) => false,
+            () = tokio::time::sleep(CHECK_EVERY) => false,
         };
-        look(&gateway, &path, is_told);
+        reload(&gateway, &path, is_signalled);
     }
 }
 
 /// Reads the file; new settings are used, ones that are wrong are not.
-fn look(gateway: &Gateway, path: &Path, is_told: bool) {
-    let why = if is_told { "signal" } else { "file changed" };
+fn reload(gateway: &Gateway, path: &Path, is_signalled: bool) {
+    let why = if is_signalled {
+        "signal"
+    } else {
+        "file changed"
+    };
     let error = match Host::read(path.to_owned()) {
         Ok(host) if host == *gateway.host() => {
-            if !is_told {
+            if !is_signalled {
                 return;
             }
             None
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -5,7 +5,7 @@
 mod time;
 
 pub use refusal::Refusal;
-pub use time::{Answer, Outlook, StreamedGuard};
+pub use time::{AnswerProgress, FinishEstimate, StreamGuard};
 
 use crate::account::Account;
 use crate::answer::Reason;
@@ -32,12 +32,12 @@
 /// upstream is tried. Admitted prompts are estimated at 0.6 of it; on two loaded
 /// days 1 and 5 in 1,000 first bytes took longer than twice the target, at an
 /// upstream that is cut off all do.
-const PATIENCE: f64 = 2.0;
+const FIRST_BYTE_TIMEOUT_FACTOR: f64 = 2.0;
 /// The same at least, where targets are short: a lost packet comes again after
 /// 0.2 s.
-const MIN_PATIENCE: Duration = Duration::from_millis(240);
+const MIN_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(240);
 /// Upstreams that are tried without anything being sent to them, for one request.
-const MAX_UNSENT: usize = 4;
+const MAX_UNSENT_UPSTREAMS: usize = 4;
 
 /// A request, read in full and routed.
 #[derive(Debug)]
@@ -77,7 +77,7 @@
     let authority = head.uri.authority().map(|a| a.as_str());
     let incoming = match Incoming::read(&head.headers, authority) {
         Ok(incoming) => incoming,
-        Err(e) => return refusal::malformed(&gateway, since, e),
+        Err(e) => return refusal::refuse_malformed(&gateway, since, e),
     };
     let mut account = Account::open(&gateway, &incoming.id, since);
     match receive(gateway, incoming, head, body, &mut account).await {
@@ -106,10 +106,10 @@
         .find(&incoming.host, head.uri.path())
         .ok_or(Reason::NoRoute)?;
     account.route = Some(target.route.name.clone());
-    let caller = caller::admit(&gateway, &table, target, &incoming, account)?;
+    let caller = caller::authenticate(&gateway, &table, target, &incoming, account)?;
     let acquired = caller::acquire_quota(&gateway, &table, caller, &incoming, account);
     account.grant = acquired.await?;
-    let left = target.left(incoming.deadline, account.since.elapsed());
+    let time_left = target.left(incoming.deadline, account.since.elapsed());
     let service = target.draw().ok_or(Reason::NoUpstream)?;
     let is_engine = {
         let fleet = gateway.fleet();
@@ -125,11 +125,12 @@
     let body = match body.is_end_stream() {
         true => Bytes::new(),
         false => {
-            let over = time::time_over(gateway.clone(), left, Answer::Awaited);
+            let timeout =
+                time::wait_for_timeout(gateway.clone(), time_left, AnswerProgress::Pending);
             tokio::select! {
                 biased;
-                body = read_whole(body, table.limits.body_bytes, left) => body?,
-                why = over => return Err(why.into()),
+                body = read_full_body(body, table.limits.body_bytes, time_left) => body?,
+                why = timeout => return Err(why.into()),
             }
         }
     };
@@ -152,12 +153,18 @@
     })
 }
 
-async fn read_whole(body: IncomingBody, limit: usize, left: Duration) -> Result<Bytes, Reason> {
-    read_body(body, limit, left).await.map_err(|e| match e {
-        BodyFault::TooLarge => Reason::TooLarge,
-        BodyFault::Slow => Reason::SlowBody,
-        BodyFault::Broken => Reason::BrokenBody,
-    })
+async fn read_full_body(
+    body: IncomingBody,
+    limit: usize,
+    time_left: Duration,
+) -> Result<Bytes, Reason> {
+    read_body(body, limit, time_left)
+        .await
+        .map_err(|e| match e {
+            BodyFault::TooLarge => Reason::TooLarge,
+            BodyFault::Slow => Reason::SlowBody,
+            BodyFault::Broken => Reason::BrokenBody,
+        })
 }
 
 /// The path and query alone, as they go to an upstream.
@@ -185,14 +192,14 @@
 
     fn need(&self, account: &Account) -> Need<'_> {
         let route = &self.target().route;
-        let is_again = account.attempts > 0;
+        let is_retry = account.attempts > 0;
         Need {
             service: self.service,
             parts: &self.incoming.parts,
             prompt_tokens: self.incoming.prompt_tokens,
             max_output_tokens: self.incoming.max_output_tokens,
             target: route.target_latency,
-            is_rest: is_again && self.last_event.is_some(),
+            is_rest: is_retry && self.last_event.is_some(),
             is_alone: false,
             tried: &self.tried,
         }
@@ -201,32 +208,32 @@
     /// Finds an upstream whose answer begins, or the reason why there is none. An upstream's
     /// own failure is passed on if nothing better comes.
     async fn run(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
-        let over = self.time_over(Answer::Awaited);
-        let done = tokio::select! {
+        let timeout = self.wait_for_timeout(AnswerProgress::Pending);
+        let outcome = tokio::select! {
             biased;
-            done = self.run_untimed(account) => done,
-            why = over => {
+            outcome = self.run_attempts(account) => outcome,
+            why = timeout => {
                 unanswered::timed_out(self, account);
                 Err(why.into())
             }
         };
-        match (done, self.failure.take()) {
+        match (outcome, self.failure.take()) {
             (Err(_), Some(failure)) => Ok(*failure),
-            (done, _) => done,
+            (outcome, _) => outcome,
         }
     }
 
-    async fn run_untimed(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
+    async fn run_attempts(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
         let mut last = Refusal::from(Reason::NoUpstream);
         // Whether the next attempt has been taken off the budget.
-        let mut is_paid = false;
+        let mut is_retry_spent = false;
         loop {
             let admission = match crashes::admit(self, account).await {
                 Admission::Held(why) => return Err(why.into()),
                 admission => admission,
             };
-            let is_again = account.attempts > 0 && !std::mem::take(&mut is_paid);
-            if is_again && !self.may_retry(account) {
+            let is_retry = account.attempts > 0 && !std::mem::take(&mut is_retry_spent);
+            if is_retry && !self.acquire_retry(account) {
                 return Err(last);
             }
             let need = Need {
@@ -238,13 +245,15 @@
                 Choice::NoUpstream => return Err(last),
                 Choice::Busy(inputs, retry_after) => {
                     account.inputs = Some(inputs);
-                    return Err(Refusal::until(Reason::Overloaded, retry_after));
+                    return Err(Refusal::with_retry_after(Reason::Overloaded, retry_after));
                 }
             };
-            if !self.ends_in_time(account, plan.inputs.estimate_ms) {
+            if !self.finishes_in_time(account, plan.inputs.estimate_ms) {
                 return Err(Reason::Stopping.into());
             }
-            let tried = self.attempt_patiently(account, &plan, &mut is_paid).await;
+            let tried = self
+                .attempt_with_timeout(account, &plan, &mut is_retry_spent)
+                .await;
             self.tried
                 .push(account.tried.map_or(plan.key, |sent| sent.key));
             match tried {
@@ -253,16 +262,16 @@
                     if !started.status.is_server_error() || !may_repeat {
                         return Ok(*started);
                     }
-                    if !self.may_retry(account) {
+                    if !self.acquire_retry(account) {
                         return Ok(*started);
                     }
-                    is_paid = true;
+                    is_retry_spent = true;
                     last = Reason::UpstreamLost.into();
                     // One that still comes holds its connection.
                     self.failure = Some(started).filter(|s| s.rest.is_none());
                 }
                 Tried::NotRun(NotRun::NotSent | NotRun::NoPrefill) => {
-                    if self.tried.len() >= MAX_UNSENT {
+                    if self.tried.len() >= MAX_UNSENT_UPSTREAMS {
                         return Err(last);
                     }
                 }
@@ -282,46 +291,49 @@
     /// Makes an attempt. One whose first byte takes far longer than estimated is
     /// given up for another, where the request may run twice and the budget has
     /// a retry, which is taken off.
-    async fn attempt_patiently(
+    async fn attempt_with_timeout(
         &self,
         account: &mut Account,
         plan: &Plan,
-        is_paid: &mut bool,
+        is_retry_spent: &mut bool,
     ) -> Tried {
         let route = &self.target().route;
         let attempts = account.attempts;
         let may_switch = || {
             let has_attempts = attempts + 1 < route.max_attempts;
-            route.kind.is_repeatable() && has_attempts && self.key_in_force().is_ok()
+            route.kind.is_repeatable() && has_attempts && self.validate_key().is_ok()
         };
-        let patience = route.target_latency.mul_f64(PATIENCE).max(MIN_PATIENCE);
+        let first_byte_timeout = route
+            .target_latency
+            .mul_f64(FIRST_BYTE_TIMEOUT_FACTOR)
+            .max(MIN_FIRST_BYTE_TIMEOUT);
         {
             let need = self.need(account);
             let tried = attempt(self, account, plan, &need);
             tokio::pin!(tried);
-            match tokio::time::timeout(patience, tried.as_mut()).await {
+            match tokio::time::timeout(first_byte_timeout, tried.as_mut()).await {
                 Ok(tried) => return tried,
                 // Another one's answer must still come before this process ends.
-                Err(_) if !may_switch() || !self.could_end() || !self.spend_retry() => {
+                Err(_) if !may_switch() || !self.can_finish() || !self.spend_retry() => {
                     return tried.await;
                 }
                 // What is dropped here is cancelled at the upstream.
                 Err(_) => {}
             }
         }
-        *is_paid = true;
+        *is_retry_spent = true;
         unanswered::timed_out(self, account);
         account.attempts += 1;
         attempt::failed(&self.gateway, plan, attempt::LOST_WEIGHT);
         let why = "no first byte in time";
-        attempt::tell_failed(account, "unknown", why, patience);
+        attempt::tell_failed(account, "unknown", why, first_byte_timeout);
         Tried::Unknown(why.to_owned())
     }
 
     /// Whether another upstream may be sent the request; takes it off the budget.
-    pub fn may_retry(&self, account: &Account) -> bool {
+    pub fn acquire_retry(&self, account: &Account) -> bool {
         account.attempts < self.target().route.max_attempts
-            && self.could_end()
+            && self.can_finish()
             && self.spend_retry()
     }
 
@@ -330,11 +342,11 @@
     }
 
     /// Sends a broken stream's rest to another upstream; none if it may not.
-    pub async fn retry(&mut self, account: &mut Account) -> Option<Tried> {
+    pub async fn resume_stream(&mut self, account: &mut Account) -> Option<Tried> {
         // The one that broke off has most likely crashed.
         self.tried.extend(account.tried.map(|sent| sent.key));
         let admission = crashes::admit(self, account).await;
-        if matches!(admission, Admission::Held(_)) || !self.may_retry(account) {
+        if matches!(admission, Admission::Held(_)) || !self.acquire_retry(account) {
             return None;
         }
         let need = Need {
@@ -345,14 +357,14 @@
             return None;
         };
         // The client may go on elsewhere at once, in place of being cut off again.
-        if !self.ends_in_time(account, plan.inputs.estimate_ms) {
+        if !self.finishes_in_time(account, plan.inputs.estimate_ms) {
             return None;
         }
-        let over = self.time_over(Answer::Awaited);
+        let timeout = self.wait_for_timeout(AnswerProgress::Pending);
         tokio::select! {
             biased;
             tried = attempt(self, account, &plan, &need) => Some(tried),
-            _ = over => None,
+            _ = timeout => None,
         }
     }
 }
--- a/crates/gateway/src/serve/caller.rs
+++ b/crates/gateway/src/serve/caller.rs
@@ -17,7 +17,7 @@
 
 /// Whose a request is, before anything is read of its body. A key that this process doesn't
 /// know may stand in a configuration that is on its way: 401 would be final.
-pub(super) fn admit(
+pub(super) fn authenticate(
     gateway: &Gateway,
     table: &RouteTable,
     target: &Target,
@@ -31,7 +31,7 @@
         }
         Err(Denied::UnknownKey) if gateway.is_config_behind() => Err(Reason::ConfigBehind.into()),
         Err(denied) => {
-            note_removed_key(table, incoming, account);
+            record_removed_key(table, incoming, account);
             Err(Reason::NoTenant(denied).into())
         }
     }
@@ -69,13 +69,13 @@
                 age_ms: refusal.at.elapsed().as_millis() as u64,
                 retry_ms: wait.as_millis() as u64,
             });
-            Err(Refusal::until(Reason::OverQuota, wait))
+            Err(Refusal::with_retry_after(Reason::OverQuota, wait))
         }
     }
 }
 
 /// Notes whose a request's key was and which version took it away, if that is known.
-fn note_removed_key(table: &RouteTable, incoming: &Incoming, account: &mut Account) {
+fn record_removed_key(table: &RouteTable, incoming: &Incoming, account: &mut Account) {
     let removed = table
         .tenants()
         .zip(incoming.key)
@@ -111,19 +111,19 @@
     /// Whether the configuration in force still lets it go to an upstream: its key may have
     /// been taken away while it waited, or since it was sent before.
     pub fn check_key(&self, account: &mut Account) -> Result<(), Reason> {
-        let reason = match self.key_in_force() {
+        let reason = match self.validate_key() {
             Ok(()) => return Ok(()),
             Err(reason) => reason,
         };
         if let Some(newest) = self.gateway.routes() {
             account.config = newest.version;
-            note_removed_key(&newest, &self.incoming, account);
+            record_removed_key(&newest, &self.incoming, account);
         }
         Err(reason)
     }
 
     /// The same, without a word in the account.
-    pub(super) fn key_in_force(&self) -> Result<(), Reason> {
+    pub(super) fn validate_key(&self) -> Result<(), Reason> {
         if self.gateway.config_version() == self.table.version {
             return Ok(());
         }
--- a/crates/gateway/src/serve/refusal.rs
+++ b/crates/gateway/src/serve/refusal.rs
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 /// When a client may come back while this process knows no configuration.
-const NO_CONFIG_RETRY: Duration = Duration::from_millis(500);
+const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// The same while no upstream is usable, or those that were tried rejected it.
-const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(300);
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// The same while no grantor of a quota can be reached.
-const NO_QUOTA_RETRY: Duration = Duration::from_millis(400);
+const NO_QUOTA_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// The same while it is tried whether upstreams end by the request: a trial takes as long
 /// as an answer does.
-const SUSPECT_RETRY: Duration = Duration::from_millis(500);
+const SUSPECT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Why a request gets an answer of the system's own.
 #[derive(Debug, Clone, Copy)]
 pub struct Refusal {
@@ -27,7 +27,7 @@
 
 impl Refusal {
     /// A refusal after which the client may come back in a time.
-    pub(super) fn until(reason: Reason, retry_after: Duration) -> Self {
+    pub(super) fn with_retry_after(reason: Reason, retry_after: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(retry_after),
@@ -38,11 +38,11 @@
 impl From<Reason> for Refusal {
     fn from(reason: Reason) -> Self {
         let retry_after = match reason {
-            Reason::NoConfig | Reason::ConfigBehind => Some(NO_CONFIG_RETRY),
-            Reason::NoUpstream | Reason::Rejected => Some(NO_UPSTREAM_RETRY),
-            Reason::Stopping | Reason::ProcessEnds => Some(NO_UPSTREAM_RETRY),
-            Reason::QuotaUnknown => Some(NO_QUOTA_RETRY),
-            Reason::CrashSuspected => Some(SUSPECT_RETRY),
+            Reason::NoConfig | Reason::ConfigBehind => Some(NO_CONFIG_RETRY_AFTER),
+            Reason::NoUpstream | Reason::Rejected => Some(NO_UPSTREAM_RETRY_AFTER),
+            Reason::Stopping | Reason::ProcessEnds => Some(NO_UPSTREAM_RETRY_AFTER),
+            Reason::QuotaUnknown => Some(NO_QUOTA_RETRY_AFTER),
+            Reason::CrashSuspected => Some(SUSPECT_RETRY_AFTER),
             _ => None,
         };
         Self {
@@ -52,7 +52,11 @@
     }
 }
 
-pub(super) fn malformed(gateway: &Arc<Gateway>, since: Instant, e: BadRequest) -> Response<Body> {
+pub(super) fn refuse_malformed(
+    gateway: &Arc<Gateway>,
+    since: Instant,
+    e: BadRequest,
+) -> Response<Body> {
     refuse(
         Account::open(gateway, "", since),
         Reason::Malformed(e).into(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,7 +15,7 @@
 use crate::peers::{Location, Peers, zone_hash};
 use crate::quota::Quotas;
 use crate::routes::RouteTable;
-use crate::stop::{Ending, StallDetector};
+use crate::stop::{ShutdownSchedule, StallDetector};
 use net::{HeadLimits, Meter, Stop};
 use observe::Metrics;
 use platform::{CallCounts, Host};
@@ -26,11 +26,11 @@
 use tokio::sync::Notify;
 
 /// Tenants with histograms of their own: each takes some 2 KB of memory and of a scrape.
-const TENANT_METRICS: u32 = 100;
+const MAX_TENANT_METRICS: u32 = 100;
 
 /// Limits on clients' heads until a configuration is read: the users' own.
-const FIRST_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-const FIRST_MAX_HEAD: usize = 16 << 10;
+const INITIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const INITIAL_MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// A gateway.
 #[derive(Debug)]
@@ -38,13 +38,13 @@
     host: Mutex<Arc<Host>>,
     routes: Mutex<Option<Arc<RouteTable>>>,
     /// Since when these routes are in force.
-    config_since: Mutex<Option<Instant>>,
+    config_applied_at: Mutex<Option<Instant>>,
     fleet: Mutex<Fleet>,
     budgets: Mutex<Vec<(ServiceKey, Budget)>>,
-    registry: Mutex<Registry>,
+    registry: Mutex<RegistryState>,
     history: Mutex<History>,
     missing: Mutex<Missing>,
-    unreadable: Mutex<follow::unreadable::Told>,
+    unreadable: Mutex<follow::unreadable::UnreadableLog>,
     peers: Mutex<Peers>,
     live_peers: AtomicU32,
     members_version: AtomicU64,
@@ -61,9 +61,9 @@
     /// Quotas of tenants.
     pub quotas: Quotas,
     /// Given when a peer knows something newer than this process.
-    pub behind: Notify,
+    pub catch_up: Notify,
     /// Limits on clients' heads, by the configuration in force.
-    pub heads: HeadLimits,
+    pub head_limits: HeadLimits,
     /// Metrics.
     pub metrics: Metrics,
     /// Bytes between this process and upstreams.
@@ -77,12 +77,12 @@
     /// Given when the process should end.
     pub stop: Stop,
     stalls: Mutex<StallDetector>,
-    ending: OnceLock<Ending>,
+    shutdown_schedule: OnceLock<ShutdownSchedule>,
 }
 
 /// How fresh this process's view of the upstreams is.
 #[derive(Debug, Clone, Copy)]
-pub struct Registry {
+pub struct RegistryState {
     /// The store's version of the last read; 0 before the first.
     pub version: u64,
     /// When that was, by this process or by a peer that knows the same.
@@ -100,10 +100,10 @@
             quotas: Quotas::new(host.ip),
             host: Mutex::new(Arc::new(host)),
             routes: Mutex::default(),
-            config_since: Mutex::default(),
+            config_applied_at: Mutex::default(),
             fleet: Mutex::default(),
             budgets: Mutex::default(),
-            registry: Mutex::new(Registry {
+            registry: Mutex::new(RegistryState {
                 version: 0,
                 read_at: Instant::now(),
                 store_ms: 0,
@@ -120,16 +120,16 @@
             running: AtomicU64::new(0),
             crashes: Shared::default(),
             usage: Usage::default(),
-            behind: Notify::new(),
-            heads: HeadLimits::new(FIRST_IDLE_TIMEOUT, FIRST_MAX_HEAD),
-            metrics: Metrics::new(TENANT_METRICS),
+            catch_up: Notify::new(),
+            head_limits: HeadLimits::new(INITIAL_IDLE_TIMEOUT, INITIAL_MAX_HEAD_BYTES),
+            metrics: Metrics::new(MAX_TENANT_METRICS),
             upstream_bytes: Meter::default(),
             peer_bytes: Meter::default(),
             store_bytes: Meter::default(),
             store_calls: CallCounts::default(),
             stop,
             stalls: Mutex::new(StallDetector::new(Instant::now())),
-            ending: OnceLock::new(),
+            shutdown_schedule: OnceLock::new(),
         })
     }
 
@@ -155,7 +155,7 @@
 
     /// How long the configuration has been in force.
     pub fn config_age(&self) -> Duration {
-        let since = *lock(&self.config_since);
+        let since = *lock(&self.config_applied_at);
         since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
@@ -174,10 +174,10 @@
     pub fn set_routes(&self, table: RouteTable) {
         // One timer covers a connection's idle time and a head's own, so the longer
         // bound holds: a connection mustn't be closed that a client counts on.
-        self.heads
+        self.head_limits
             .set(table.limits.idle_timeout, table.limits.head_bytes);
         *lock(&self.routes) = Some(Arc::new(table));
-        *lock(&self.config_since) = Some(Instant::now());
+        *lock(&self.config_applied_at) = Some(Instant::now());
     }
 
     /// The upstreams. Never held across an await.
@@ -186,7 +186,7 @@
     }
 
     /// How fresh the view of the upstreams is.
-    pub fn registry(&self) -> Registry {
+    pub fn registry(&self) -> RegistryState {
         *lock(&self.registry)
     }
 
@@ -204,7 +204,7 @@
 
     /// Notes when a read of the version in use was asked for: what came before it is known.
     /// An answer may wait for a process that stands still, so its arrival says nothing.
-    pub fn note_read(&self, version: u64, asked_at: Instant, store_ms: u64) {
+    pub fn record_read(&self, version: u64, asked_at: Instant, store_ms: u64) {
         let mut registry = lock(&self.registry);
         if version == registry.version && store_ms >= registry.store_ms {
             registry.read_at = asked_at;
@@ -226,13 +226,13 @@
     /// What has changed in the registry since a version, or all of it if that isn't
     /// known; none if peers may not take this process's word for it.
     pub fn changes_since(&self, version: u64) -> Option<RegistryChanges> {
-        let settled = self.settled_registry().filter(|r| r.version > 0)?;
+        let shareable = self.shareable_registry().filter(|r| r.version > 0)?;
         let fleet = self.fleet();
         let history = self.history();
         let mut changes = RegistryChanges {
-            version: settled.version,
-            read_ms_ago: settled.read_at.elapsed().as_millis() as u32,
-            store_ms: settled.store_ms,
+            version: shareable.version,
+            read_ms_ago: shareable.read_at.elapsed().as_millis() as u32,
+            store_ms: shareable.store_ms,
             view: fleet.view(),
             is_whole: false,
             present: Vec::new(),
@@ -254,19 +254,19 @@
     }
 
     /// Rows of the registry that can't be decoded and were told.
-    pub fn unreadable(&self) -> MutexGuard<'_, follow::unreadable::Told> {
+    pub fn unreadable(&self) -> MutexGuard<'_, follow::unreadable::UnreadableLog> {
         lock(&self.unreadable)
     }
 
     /// What peers may take this process's word for: none while it uses upstreams
     /// that its last read didn't find.
-    pub fn settled_registry(&self) -> Option<Registry> {
+    pub fn shareable_registry(&self) -> Option<RegistryState> {
         self.missing().is_empty().then(|| self.registry())
     }
 
     /// Notes a peer's read of the registry, if it is later and found the same.
     /// What this process holds back must be found or gone by its own reads.
-    pub fn confirm_registry(&self, read: Registry) {
+    pub fn confirm_registry(&self, read: RegistryState) {
         if !self.missing().is_empty() {
             return;
         }
@@ -295,7 +295,7 @@
 
     /// The place of this process in its zone among those that read a long registry
     /// first; none until the store has told of the peers.
-    pub fn place_to_read(&self) -> Option<u32> {
+    pub fn startup_read_place(&self) -> Option<u32> {
         let peers = self.peers();
         peers
             .is_listed()
@@ -344,7 +344,7 @@
     }
 
     /// Processes that share the retry budget.
-    fn processes(&self) -> u32 {
+    fn process_count(&self) -> u32 {
         self.live_peers.load(Ordering::Relaxed) + 1
     }
 
@@ -355,7 +355,7 @@
         let at = at.unwrap_or_else(|at| {
             let host = self.host();
             let (ratio, slack) = (host.retry_ratio, host.retry_slack);
-            let budget = Budget::new(ratio, slack, host.retry_window, self.processes());
+            let budget = Budget::new(ratio, slack, host.retry_window, self.process_count());
             budgets.insert(at, (service, budget));
             at
         });
@@ -380,23 +380,25 @@
 
     /// The moments of this process's end, once it was told to stop. They are set by who
     /// asks first after the signal, and stay whatever signal or reload follows.
-    pub fn ending(&self) -> Option<Ending> {
-        self.stop.is_stopped().then(|| self.set_ending())
+    pub fn shutdown_schedule(&self) -> Option<ShutdownSchedule> {
+        self.stop
+            .is_stopped()
+            .then(|| self.init_shutdown_schedule())
     }
 
     /// Waits for the stop signal; gives the moments of the end.
-    pub async fn stopping(&self) -> Ending {
+    pub async fn wait_for_stop(&self) -> ShutdownSchedule {
         self.stop.stopped().await;
-        self.set_ending()
+        self.init_shutdown_schedule()
     }
 
-    fn set_ending(&self) -> Ending {
-        let new = || {
+    fn init_shutdown_schedule(&self) -> ShutdownSchedule {
+        let compute = || {
             let now = Instant::now();
             let earliest_signal = lock(&self.stalls).earliest_signal(now);
-            Ending::new(now, earliest_signal, self.host().stop_grace)
+            ShutdownSchedule::new(now, earliest_signal, self.host().stop_grace)
         };
-        *self.ending.get_or_init(new)
+        *self.shutdown_schedule.get_or_init(compute)
     }
 
     /// Notes that this process runs, so that it knows when it stood still.
@@ -410,13 +412,13 @@
     }
 
     /// Counts a request as running until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> RunningGuard {
+    pub fn begin_request(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
         RunningGuard::new(self.clone())
     }
 
     /// Counts a request as no longer running.
-    fn end(&self) {
+    fn end_request(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/state/guards.rs
+++ b/crates/gateway/src/state/guards.rs
@@ -16,7 +16,7 @@
 
 impl Drop for RunningGuard {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.end_request();
     }
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// The first byte has come: the prompt has been read.
-    pub fn has_begun(&mut self) {
+    pub fn first_byte_received(&mut self) {
         if !std::mem::take(&mut self.is_waiting) {
             return;
         }
@@ -55,7 +55,7 @@
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.has_begun();
+        self.first_byte_received();
         if let Some(upstream) = self.gateway.fleet().get_mut(self.key) {
             upstream.running = upstream.running.saturating_sub(1);
             upstream.streams = upstream.streams.saturating_sub(u32::from(self.is_long));
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -15,62 +15,62 @@
 /// How long requests are served as before after the stop signal, while the
 /// balancer notices that this host isn't ready: it asks once a second and takes
 /// a host out after two misses.
-const LEAVE_DELAY: Duration = Duration::from_millis(2300);
+const DRAIN_DELAY: Duration = Duration::from_millis(2300);
 /// The same at most, as a part of the grace: with a grace of 2 s, half of it is left for
 /// what runs.
-const MAX_LEAVE_SHARE: f64 = 0.5;
+const MAX_DRAIN_DELAY_SHARE: f64 = 0.5;
 /// Part of the time between SIGTERM and SIGKILL after which the process ends
 /// whatever still runs.
 const GRACE_SHARE: f64 = 0.97;
 /// Time kept at the end of it in which no connection is taken: a plain request or
 /// a short answer is through by then.
-const LAST_REQUESTS: Duration = Duration::from_millis(1200);
+const CLOSE_MARGIN: Duration = Duration::from_millis(1200);
 /// Time before the process's end at which answers must have ended that are begun after the
 /// signal, and at which whatever has no answer gets the system's own.
 const ANSWER_MARGIN: Duration = Duration::from_millis(300);
 /// Time before the process's end at which an answer that has begun is broken off: its last
 /// bytes must still reach the client. The 250 ms between the two are what an estimate of an
 /// answer's end may be wrong.
-const CUT_MARGIN: Duration = Duration::from_millis(50);
+const ABORT_MARGIN: Duration = Duration::from_millis(50);
 /// Time without a turn of this process's timers after which it stood still, as a host that
 /// is paused does: five times the longest wait of a process with a tenth of a core.
-const STALL: Duration = Duration::from_millis(500);
+const MIN_STALL: Duration = Duration::from_millis(500);
 /// Time after a stall within which a signal that came during it is seen.
 const SIGNAL_DELAY: Duration = Duration::from_millis(300);
 
 /// Time after a stall within which datagrams from before it are taken.
-const QUEUES_EMPTY: Duration = Duration::from_millis(200);
+const QUEUE_DRAIN_TIME: Duration = Duration::from_millis(200);
 
 /// The moments of a process's end.
 #[derive(Debug, Clone, Copy)]
-pub struct Ending {
+pub struct ShutdownSchedule {
     /// When the stop signal came.
     pub signal_at: Instant,
     /// From when on connections close when idle, and new ones after one request.
     pub drain_at: Instant,
     /// From when on no connection is taken.
-    pub closed_at: Instant,
+    pub close_at: Instant,
     /// Until when answers must have ended that are begun from the signal on.
-    pub work_by: Instant,
+    pub finish_by: Instant,
     /// When whatever has no answer gets the system's own.
-    pub answers_by: Instant,
+    pub refuse_at: Instant,
     /// When answers that have begun are broken off.
-    pub cut_at: Instant,
+    pub abort_at: Instant,
     /// When the process ends.
-    pub ends_at: Instant,
+    pub exit_at: Instant,
 }
 
-impl Ending {
+impl ShutdownSchedule {
     /// The end of a process that was told to stop at a time, and is killed a grace later.
     ///
     /// A process that stood still when the signal came sees it late, and may be killed that
     /// much sooner than it thinks. `earliest_signal` is when the signal may have come: work that is
     /// taken on must end by that; what runs goes on, as it may be in time.
     pub fn new(signal_at: Instant, earliest_signal: Instant, grace: Duration) -> Self {
-        let ends_at = signal_at + grace.mul_f64(GRACE_SHARE);
-        let drain_at = signal_at + LEAVE_DELAY.min(grace.mul_f64(MAX_LEAVE_SHARE));
+        let exit_at = signal_at + grace.mul_f64(GRACE_SHARE);
+        let drain_at = signal_at + DRAIN_DELAY.min(grace.mul_f64(MAX_DRAIN_DELAY_SHARE));
         let before_end = |margin| {
-            ends_at
+            exit_at
                 .checked_sub(margin)
                 .unwrap_or(signal_at)
                 .max(signal_at)
@@ -78,11 +78,11 @@
         Self {
             signal_at,
             drain_at,
-            closed_at: before_end(LAST_REQUESTS).max(drain_at),
-            work_by: before_end(ANSWER_MARGIN + (signal_at - earliest_signal)),
-            answers_by: before_end(ANSWER_MARGIN),
-            cut_at: before_end(CUT_MARGIN),
-            ends_at,
+            close_at: before_end(CLOSE_MARGIN).max(drain_at),
+            finish_by: before_end(ANSWER_MARGIN + (signal_at - earliest_signal)),
+            refuse_at: before_end(ANSWER_MARGIN),
+            abort_at: before_end(ABORT_MARGIN),
+            exit_at,
         }
     }
 }
@@ -112,7 +112,7 @@
 
     /// Notes that the process runs.
     pub fn tick(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.last_tick) > STALL {
+        if now.saturating_duration_since(self.last_tick) > MIN_STALL {
             let from = self.last_tick;
             self.last_stall = Some(Stall { from, until: now });
         }
@@ -122,9 +122,9 @@
     /// Whether what is taken from a queue now may have waited there while the process stood
     /// still.
     pub fn may_have_waited(&self, now: Instant) -> bool {
-        let is_still = now.saturating_duration_since(self.last_tick) > STALL;
-        let was_still = |s: Stall| now.saturating_duration_since(s.until) <= QUEUES_EMPTY;
-        is_still || self.last_stall.is_some_and(was_still)
+        let is_stalled = now.saturating_duration_since(self.last_tick) > MIN_STALL;
+        let was_stalled = |s: Stall| now.saturating_duration_since(s.until) <= QUEUE_DRAIN_TIME;
+        is_stalled || self.last_stall.is_some_and(was_stalled)
     }
 
     /// When a signal that is seen now may have come at the earliest.
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -6,7 +6,7 @@
 
 /// Most keys that are remembered after they were taken away, so that a refusal can be
 /// explained.
-const MAX_REMOVED: usize = 1024;
+const MAX_REMOVED_KEYS: usize = 1024;
 
 /// A tenant, in the table that gave it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -100,7 +100,7 @@
             tenant: before.get(*holder).name.clone(),
             version,
         }));
-        let over = removed.len().saturating_sub(MAX_REMOVED);
+        let over = removed.len().saturating_sub(MAX_REMOVED_KEYS);
         removed.drain(..over);
         removed
     }
@@ -143,12 +143,12 @@
     }
 
     /// Keys in the table.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
     /// Keys that were taken away by a version.
-    pub fn removed_by(&self, version: u64) -> usize {
+    pub fn removed_count(&self, version: u64) -> usize {
         let removed = self.removed.iter().rev();
         removed.take_while(|r| r.version == version).count()
     }
--- a/crates/gateway/tests/cache.rs
+++ b/crates/gateway/tests/cache.rs
@@ -138,7 +138,7 @@
     for n in 8..12 {
         for _ in 0..48 {
             let mut placed = place(&gateway, &format!("i-{n}"), 0);
-            placed.has_begun();
+            placed.first_byte_received();
             busy.push(placed);
         }
     }
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -191,7 +191,7 @@
     // Seven long answers and one short one hold all slots, and read nothing.
     let mut placed: Vec<_> = (0..8).map(|n| gateway.add_load(key, 0, n > 0)).collect();
     for placed in &mut placed {
-        placed.has_begun();
+        placed.first_byte_received();
     }
     let waits = gateway.fleet().get(key).unwrap().work(0);
     assert!((waits.turns - 1.0).abs() < 1e-9, "{waits:?}");
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -4,7 +4,7 @@
 mod fixtures;
 
 use fixtures::{configuration, route, runner};
-use gateway::events::EventCutter;
+use gateway::events::EventSplitter;
 use gateway::fleet::Fleet;
 use gateway::routes::RouteTable;
 use platform::Route;
@@ -54,7 +54,7 @@
             if torn {
                 text.push_str("id: 99\ndata: to");
             }
-            let mut cutter = EventCutter::after(None);
+            let mut cutter = EventSplitter::after(None);
             let mut out = Vec::new();
             let mut rest = text.as_bytes();
             for cut in cuts.iter().cycle() {
@@ -75,7 +75,7 @@
 
 #[test]
 fn events_that_were_passed_on_are_left_out_and_a_gap_is_seen() {
-    let mut cutter = EventCutter::after(Some(2));
+    let mut cutter = EventSplitter::after(Some(2));
     let out = cutter
         .push(b"id: 1\nx\n\nid: 2\nx\n\nid: 3\ny\n\n")
         .unwrap();
@@ -85,7 +85,7 @@
 
 #[test]
 fn events_before_a_gap_are_asked_for_again() {
-    let mut cutter = EventCutter::after(Some(2));
+    let mut cutter = EventSplitter::after(Some(2));
     assert!(cutter.push(b"id: 3\n\nid: 4\n\nid: 6\n\n").is_err());
     // None of them was passed on, so the stream goes on after 2.
     assert_eq!(cutter.last_id(), Some(2));
--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -5,7 +5,7 @@
 mod fixtures;
 
 use fixtures::{gateway_with, instance, runner};
-use gateway::duty::lease::turn;
+use gateway::duty::lease::decide;
 use gateway::fleet::durations::{Durations, Length, Told};
 use gateway::peers::catch_up::{RegistryChanges, take_changes};
 use gateway::peers::{Beat, Changing, CrashWord, Load, Peers, Placement, Scope};
@@ -240,7 +240,7 @@
                 now_ms,
             };
             for holder in ["10.0.0.1", "10.0.0.2"] {
-                turn(
+                decide(
                     Duty::Orders,
                     &read(holder),
                     "10.0.0.1",
@@ -259,5 +259,5 @@
         version: 1,
         now_ms: u64::MAX,
     };
-    turn(Duty::Orders, &most, "10.0.0.1", Duration::from_secs(3));
+    decide(Duty::Orders, &most, "10.0.0.1", Duration::from_secs(3));
 }
--- a/crates/gateway/tests/division.rs
+++ b/crates/gateway/tests/division.rs
@@ -5,7 +5,7 @@
 //! by engines with 64 slots, or at 700 and more by engines with 6 to 12.
 
 use gateway::division::{Basis, Demand, Division, EngineUse, Wanted};
-use gateway::duty::lease::{Held, Turn, turn};
+use gateway::duty::lease::{Decision, HeldLease, decide};
 use platform::{Duty, Lease, LeaseRead, Stage};
 use std::time::{Duration, Instant};
 
@@ -159,9 +159,9 @@
 
 #[test]
 fn another_hosts_lease_is_taken_only_a_gap_after_its_end() {
-    let wait = |now| match turn(Duty::Orders, &read("a", 10_000, now), "b", GAP) {
-        Turn::Wait(pause) => Some(pause),
-        Turn::Take(_) => None,
+    let wait = |now| match decide(Duty::Orders, &read("a", 10_000, now), "b", GAP) {
+        Decision::Wait(pause) => Some(pause),
+        Decision::Take(_) => None,
     };
     // The last order leaves 1.5 s before the end, so 5.5 s lie between two hosts'.
     assert_eq!(wait(9_000), Some(Duration::from_millis(5_000)));
@@ -171,11 +171,11 @@
 
 #[test]
 fn each_lease_has_a_higher_token() {
-    let Turn::Take(lease) = turn(Duty::Orders, &read("a", 10_000, 20_000), "b", GAP) else {
+    let Decision::Take(lease) = decide(Duty::Orders, &read("a", 10_000, 20_000), "b", GAP) else {
         panic!("it is free");
     };
     assert_eq!((lease.holder.as_str(), lease.token), ("b", 8));
-    let Turn::Take(again) = turn(Duty::Orders, &read("a", 10_000, 5_000), "a", GAP) else {
+    let Decision::Take(again) = decide(Duty::Orders, &read("a", 10_000, 5_000), "a", GAP) else {
         panic!("it is its own");
     };
     assert_eq!(again.token, 8);
@@ -184,7 +184,7 @@
 #[test]
 fn a_process_that_was_paused_gives_no_order() {
     let since = Instant::now();
-    let held = Held::new(Duty::Orders, 1, since);
+    let held = HeldLease::new(Duty::Orders, 1, since);
     assert!(held.is_valid(since + Duration::from_millis(2400)));
     assert!(!held.is_valid(since + Duration::from_millis(2500)));
 }
--- a/crates/gateway/tests/ending.rs
+++ b/crates/gateway/tests/ending.rs
@@ -1,6 +1,6 @@
 //! The moments of a process's end.
 
-use gateway::stop::{Ending, StallDetector};
+use gateway::stop::{ShutdownSchedule, StallDetector};
 use std::time::{Duration, Instant};
 
 const GRACE: Duration = Duration::from_secs(8);
@@ -13,17 +13,17 @@
 fn the_moments_follow_each_other_whatever_the_grace() {
     let now = Instant::now();
     for grace in [0.0, 0.1, 0.25, 1.0, 3.0, 8.0, 60.0] {
-        let ending = Ending::new(now, now, secs(grace));
+        let ending = ShutdownSchedule::new(now, now, secs(grace));
         let order = [
             now,
             ending.drain_at,
-            ending.closed_at,
-            ending.ends_at.max(ending.closed_at),
+            ending.close_at,
+            ending.exit_at.max(ending.close_at),
         ];
         assert!(order.is_sorted(), "grace of {grace} s: {ending:?}");
-        assert!(ending.work_by >= now, "grace of {grace} s");
-        assert!(ending.work_by <= ending.answers_by, "grace of {grace} s");
-        assert!(ending.answers_by <= ending.cut_at, "grace of {grace} s");
+        assert!(ending.finish_by >= now, "grace of {grace} s");
+        assert!(ending.finish_by <= ending.refuse_at, "grace of {grace} s");
+        assert!(ending.refuse_at <= ending.abort_at, "grace of {grace} s");
         assert!(ending.drain_at <= now + secs(grace), "grace of {grace} s");
     }
 }
@@ -45,15 +45,15 @@
     let seen = awake + secs(0.05);
     let earliest = stalls.earliest_signal(seen);
     assert_eq!(earliest, asleep);
-    let ending = Ending::new(seen, earliest, GRACE);
-    let left = ending.work_by - seen;
+    let ending = ShutdownSchedule::new(seen, earliest, GRACE);
+    let left = ending.finish_by - seen;
     let bounds = secs(2.0)..secs(3.0);
     assert!(
         bounds.contains(&left),
         "it may be killed 3 s from now: {left:?}"
     );
     // What runs isn't broken off for it.
-    assert!(ending.cut_at > seen + secs(7.0));
+    assert!(ending.abort_at > seen + secs(7.0));
     // Long after it a signal is as old as it seems.
     let later = awake + secs(2.0);
     let mut beat = awake;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -5,11 +5,11 @@
 
 use fixtures::{gateway_with, instance, runner};
 use gateway::fleet::Fleet;
-use gateway::follow::{merge, merge_peers, retry_pause};
+use gateway::follow::{merge_from_peer, merge_from_store, retry_pause};
 use gateway::peers::catch_up::take_changes;
 use gateway::peers::exchange::Unreadable;
 use gateway::peers::{Beat, Load, Peers, Scope};
-use gateway::state::{Gateway, Registry};
+use gateway::state::{Gateway, RegistryState};
 use net::Meter;
 use platform::{Instance, Registration, Stage};
 use proptest::prelude::*;
@@ -136,13 +136,13 @@
     let both = || vec![kept.clone(), removed.clone()];
     let now = Instant::now();
     let read = both().into_iter().map(Registration::Present).collect();
-    merge(&gateway, read, true, 5, now);
+    merge_from_store(&gateway, read, true, 5, now);
     assert_eq!(gateway.fleet().len(), 2);
     // A peer has read since that one has gone; a read from before comes late.
     let view = vec![Registration::Present(kept.clone())];
-    merge_peers(&gateway, view, true, 9);
+    merge_from_peer(&gateway, view, true, 9);
     let late = both().into_iter().map(Registration::Present).collect();
-    merge(&gateway, late, false, 7, now);
+    merge_from_store(&gateway, late, false, 7, now);
     assert!(gateway.fleet().find("i-2").is_none());
     assert!(gateway.fleet().find("i-1").is_some());
 }
@@ -151,10 +151,10 @@
 fn a_peers_later_read_counts_if_it_found_the_same() {
     let gateway = gateway_with(&[Stage::Decode]);
     gateway.set_registry(7);
-    gateway.note_read(7, Instant::now(), 1000);
+    gateway.record_read(7, Instant::now(), 1000);
     let own = gateway.registry();
     let later = own.read_at + Duration::from_secs(1);
-    let read = |version, view, store_ms| Registry {
+    let read = |version, view, store_ms| RegistryState {
         version,
         read_at: later,
         store_ms,
@@ -181,7 +181,7 @@
     let begins = Instant::now();
     for gateway in &both {
         gateway.set_registry(7);
-        gateway.note_read(7, begins, 1000);
+        gateway.record_read(7, begins, 1000);
     }
     let way = Duration::from_millis(8);
     for n in 0..200u32 {
@@ -190,7 +190,7 @@
         let sent_at = begins + Duration::from_millis(10) * n;
         let told = from.registry();
         let age = sent_at.saturating_duration_since(told.read_at);
-        to.confirm_registry(Registry {
+        to.confirm_registry(RegistryState {
             read_at: sent_at + way - age,
             ..told
         });
@@ -204,10 +204,10 @@
     let gateway = gateway_with(&[]);
     let asked_at = Instant::now();
     gateway.set_registry(7);
-    gateway.note_read(7, asked_at, 1000);
+    gateway.record_read(7, asked_at, 1000);
     assert_eq!(gateway.registry().read_at, asked_at);
     // An answer that a later one has overtaken changes nothing.
-    gateway.note_read(7, asked_at + Duration::from_secs(3), 900);
+    gateway.record_read(7, asked_at + Duration::from_secs(3), 900);
     assert_eq!(gateway.registry().read_at, asked_at);
 }
 
@@ -220,16 +220,16 @@
         let all = all.iter().map(|i| Registration::Present((*i).clone()));
         all.collect::<Vec<_>>()
     };
-    merge(&gateway, read(&[&kept, &lapsed]), true, 5, now);
-    assert_eq!(gateway.settled_registry().unwrap().version, 5);
+    merge_from_store(&gateway, read(&[&kept, &lapsed]), true, 5, now);
+    assert_eq!(gateway.shareable_registry().unwrap().version, 5);
     // The store was away; its first read afterwards misses one.
     gateway.missing().open(now);
-    merge(&gateway, read(&[&kept]), true, 9, now);
+    merge_from_store(&gateway, read(&[&kept]), true, 9, now);
     assert!(gateway.fleet().find("i-2").is_some(), "it may come back");
     // What is known is more than version 9 says, and peers must not adopt it.
-    assert!(gateway.settled_registry().is_none());
+    assert!(gateway.shareable_registry().is_none());
     let before = gateway.registry().version;
-    gateway.confirm_registry(Registry {
+    gateway.confirm_registry(RegistryState {
         version: 12,
         read_at: now + Duration::from_secs(1),
         store_ms: u64::MAX,
@@ -237,18 +237,18 @@
     });
     assert_eq!(gateway.registry().version, before);
     // It is back in time.
-    merge(&gateway, read(&[&lapsed]), false, 13, now);
-    assert_eq!(gateway.settled_registry().unwrap().version, 13);
+    merge_from_store(&gateway, read(&[&lapsed]), false, 13, now);
+    assert_eq!(gateway.shareable_registry().unwrap().version, 13);
     // It goes for good.
-    merge(
+    merge_from_store(
         &gateway,
         vec![Registration::Removed { id: "i-2".into() }],
         false,
         14,
         now,
     );
-    assert!(gateway.settled_registry().is_none());
-    merge(
+    assert!(gateway.shareable_registry().is_none());
+    merge_from_store(
         &gateway,
         Vec::new(),
         false,
@@ -256,7 +256,7 @@
         now + Duration::from_secs(3),
     );
     assert!(gateway.fleet().find("i-2").is_none());
-    assert_eq!(gateway.settled_registry().unwrap().version, 14);
+    assert_eq!(gateway.shareable_registry().unwrap().version, 14);
 }
 
 #[test]
@@ -265,9 +265,9 @@
     let (kept, lapsed) = (instance(1, Stage::Decode), instance(2, Stage::Decode));
     let now = Instant::now();
     let both = [&kept, &lapsed].map(|i| Registration::Present(i.clone()));
-    merge(&gateway, both.to_vec(), true, 5, now);
+    merge_from_store(&gateway, both.to_vec(), true, 5, now);
     gateway.missing().open(now);
-    merge(
+    merge_from_store(
         &gateway,
         vec![Registration::Present(kept.clone())],
         true,
@@ -275,9 +275,9 @@
         now,
     );
     let view = vec![Registration::Present(kept)];
-    merge_peers(&gateway, view, true, 11);
+    merge_from_peer(&gateway, view, true, 11);
     assert!(gateway.fleet().find("i-2").is_none());
-    assert_eq!(gateway.settled_registry().unwrap().version, 11);
+    assert_eq!(gateway.shareable_registry().unwrap().version, 11);
 }
 
 #[test]
@@ -286,14 +286,14 @@
     let last_bad = Instant::now();
     let first_good = last_bad + Duration::from_millis(700);
     let both = [1, 2].map(|n| Registration::Present(instance(n, Stage::Decode)));
-    merge(&gateway, both.to_vec(), true, 5, last_bad);
+    merge_from_store(&gateway, both.to_vec(), true, 5, last_bad);
     gateway.missing().open(last_bad);
     let one = vec![both[0].clone()];
-    merge(&gateway, one, true, 9, first_good);
+    merge_from_store(&gateway, one, true, 9, first_good);
     // A read is due when the time is up, however fresh the last one is.
     let until = gateway.missing().until().expect("one is held back");
     assert_eq!(until, last_bad + Duration::from_secs(2));
-    merge(&gateway, Vec::new(), false, 9, until);
+    merge_from_store(&gateway, Vec::new(), false, 9, until);
     assert!(gateway.fleet().find("i-2").is_none());
     assert!(gateway.missing().until().is_none());
 }
@@ -323,8 +323,8 @@
     let read = || all.iter().cloned().map(Registration::Present).collect();
     let (peer, own) = (gateway_with(&[]), gateway_with(&[]));
     let now = Instant::now();
-    merge(&peer, read(), true, 5, now);
-    merge(&own, read(), true, 5, now);
+    merge_from_store(&peer, read(), true, 5, now);
+    merge_from_store(&own, read(), true, 5, now);
     let gone = Registration::Removed {
         id: all[7].id.clone(),
     };
@@ -333,7 +333,7 @@
         ..all[9].clone()
     };
     let changes = vec![gone, Registration::Present(leaving)];
-    merge(&peer, changes, false, 8, now);
+    merge_from_store(&peer, changes, false, 8, now);
     let told = peer.changes_since(5).expect("the peer knows them");
     assert_eq!((told.present.len(), told.gone.len()), (1, 1));
     // Two upstreams, whatever the number of those that didn't change.
@@ -343,7 +343,7 @@
     assert_eq!(own.fleet().view(), peer.fleet().view());
     // What was taken is told on to the next.
     let next = gateway_with(&[]);
-    merge(&next, read(), true, 5, now);
+    merge_from_store(&next, read(), true, 5, now);
     assert!(take_from(&own, &next));
     assert_eq!(next.fleet().view(), peer.fleet().view());
 }
@@ -353,10 +353,10 @@
     let (peer, own) = (gateway_with(&[]), gateway_with(&[]));
     let now = Instant::now();
     let one = |n| Registration::Present(instance(n, Stage::Decode));
-    merge(&peer, vec![one(1), one(2)], true, 5, now);
+    merge_from_store(&peer, vec![one(1), one(2)], true, 5, now);
     // This process missed an upstream, by a row that couldn't be decoded.
-    merge(&own, vec![one(1)], true, 5, now);
-    merge(&peer, vec![one(3)], false, 6, now);
+    merge_from_store(&own, vec![one(1)], true, 5, now);
+    merge_from_store(&peer, vec![one(3)], false, 6, now);
     assert!(!take_from(&peer, &own));
 }
 
@@ -365,7 +365,7 @@
     let peer = gateway_with(&[]);
     let now = Instant::now();
     let one = |n| Registration::Present(instance(n, Stage::Decode));
-    merge(&peer, vec![one(1)], true, 5, now);
+    merge_from_store(&peer, vec![one(1)], true, 5, now);
     let is_whole = |since| peer.changes_since(since).unwrap().is_whole;
     assert!(is_whole(0), "a process that has just started knows none");
     assert!(is_whole(4), "it was changed before this process started");
@@ -378,7 +378,7 @@
             row: version,
             ..instance(2, Stage::Decode)
         };
-        merge(
+        merge_from_store(
             &peer,
             vec![Registration::Present(leaving)],
             false,
@@ -390,7 +390,7 @@
     assert!(!is_whole(5990));
     // What it tells is all that it knows.
     let own = gateway_with(&[]);
-    merge(&own, vec![one(1), one(7)], true, 4, now);
+    merge_from_store(&own, vec![one(1), one(7)], true, 4, now);
     assert!(take_from(&peer, &own));
     assert!(own.fleet().find("i-7").is_none());
     assert_eq!(own.fleet().view(), peer.fleet().view());
@@ -401,9 +401,9 @@
     let gateway = gateway_with(&[]);
     let now = Instant::now();
     let one = |n| Registration::Present(instance(n, Stage::Decode));
-    merge(&gateway, vec![one(1), one(2)], true, 5, now);
+    merge_from_store(&gateway, vec![one(1), one(2)], true, 5, now);
     gateway.missing().open(now);
-    merge(&gateway, vec![one(1)], true, 9, now);
+    merge_from_store(&gateway, vec![one(1)], true, 9, now);
     assert!(gateway.changes_since(5).is_none());
 }
 
--- a/crates/gateway/tests/scaling.rs
+++ b/crates/gateway/tests/scaling.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{address, config, routes, start_on, wait_for};
-use gateway::duty::scaling::{Demand, ZoneUse};
+use gateway::duty::scaling::{Demand, ZoneOccupancy};
 use platform::{CloudBounds, Scaling};
 use serde_json::json;
 use standin::{Act, Cloud, Store, Worker, fixture};
@@ -17,8 +17,8 @@
     start: Duration::from_secs(2),
 };
 
-fn seen(running: u32, upstreams: u32) -> ZoneUse {
-    ZoneUse {
+fn seen(running: u32, upstreams: u32) -> ZoneOccupancy {
+    ZoneOccupancy {
         running,
         upstreams,
         slots: 10,
@@ -30,11 +30,14 @@
     let now = Instant::now();
     let mut demand = Demand::new(now);
     demand.sample(seen(30, 2), BOUNDS, now);
-    assert_eq!(demand.wanted(seen(30, 2), BOUNDS), Some(5));
+    assert_eq!(demand.desired_upstreams(seen(30, 2), BOUNDS), Some(5));
     demand.sample(seen(900, 2), BOUNDS, now);
-    assert_eq!(demand.wanted(seen(900, 2), BOUNDS), Some(8));
-    assert_eq!(Demand::new(now).wanted(seen(0, 1), BOUNDS), Some(2));
-    assert_eq!(Demand::new(now).wanted(seen(0, 2), BOUNDS), None);
+    assert_eq!(demand.desired_upstreams(seen(900, 2), BOUNDS), Some(8));
+    assert_eq!(
+        Demand::new(now).desired_upstreams(seen(0, 1), BOUNDS),
+        Some(2)
+    );
+    assert_eq!(Demand::new(now).desired_upstreams(seen(0, 2), BOUNDS), None);
 }
 
 #[test]
@@ -47,7 +50,7 @@
         let now = begins + Duration::from_millis(250) * step;
         let running = if (step / 40) % 2 == 0 { 28 } else { 1 };
         demand.sample(seen(running, 5), BOUNDS, now);
-        orders.extend(demand.wanted(seen(running, 5), BOUNDS));
+        orders.extend(demand.desired_upstreams(seen(running, 5), BOUNDS));
     }
     assert_eq!(orders, Vec::<u32>::new());
 }
@@ -57,14 +60,14 @@
     let begins = Instant::now();
     let mut demand = Demand::new(begins);
     demand.sample(seen(40, 7), BOUNDS, begins);
-    assert_eq!(demand.wanted(seen(11, 7), BOUNDS), None);
+    assert_eq!(demand.desired_upstreams(seen(11, 7), BOUNDS), None);
     let later = begins + Duration::from_secs(60);
     for n in 0..3 {
         demand.sample(seen(11, 7), BOUNDS, later + Duration::from_secs(20) * n);
     }
-    assert_eq!(demand.wanted(seen(11, 7), BOUNDS), Some(6));
-    assert_eq!(demand.wanted(seen(11, 3), BOUNDS), Some(2));
-    assert_eq!(demand.wanted(seen(59, 7), BOUNDS), Some(8));
+    assert_eq!(demand.desired_upstreams(seen(11, 7), BOUNDS), Some(6));
+    assert_eq!(demand.desired_upstreams(seen(11, 3), BOUNDS), Some(2));
+    assert_eq!(demand.desired_upstreams(seen(59, 7), BOUNDS), Some(8));
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -7,8 +7,8 @@
 use fixtures::{gateway_with, instance};
 use gateway::choose::{Choice, Need, choose};
 use gateway::fleet::{Fleet, Merged};
-use gateway::follow::unreadable::{Telling, Told};
-use gateway::follow::{merge, merge_peers};
+use gateway::follow::unreadable::{LogAction, UnreadableLog};
+use gateway::follow::{merge_from_peer, merge_from_store};
 use gateway::peers::catch_up::{RegistryChanges, take_changes};
 use gateway::peers::{Beat, Load, Peers, Scope};
 use gateway::state::Gateway;
@@ -170,7 +170,7 @@
     let gateway = gateway_with(&[]);
     gateway.fleet().see_starts();
     let now = Instant::now();
-    merge(
+    merge_from_store(
         &gateway,
         vec![Registration::Present(row(Some(1), 1))],
         true,
@@ -202,7 +202,7 @@
     let before = gateway.fleet().find("i-1").unwrap();
     assert_eq!(sent_uncached(&gateway, &prompt()), None, "it is suspended");
     let again = vec![Registration::Present(row(Some(2), 2))];
-    merge(&gateway, again, false, 2, Instant::now());
+    merge_from_store(&gateway, again, false, 2, Instant::now());
     // It is used at once, holds nothing, and has nothing to do.
     assert_eq!(sent_uncached(&gateway, &prompt()), Some(1000));
     let fleet = gateway.fleet();
@@ -268,10 +268,10 @@
     let now = Instant::now();
     let rows = [row(Some(1), 1), row(Some(2), 5)].map(Registration::Present);
     for (version, row) in [1, 5].into_iter().zip(rows) {
-        merge(&gateway, vec![row], false, version, now);
+        merge_from_store(&gateway, vec![row], false, version, now);
     }
     let earlier = vec![Registration::Present(draining(Some(1), 4))];
-    merge_peers(&gateway, earlier, false, 9);
+    merge_from_peer(&gateway, earlier, false, 9);
     assert_eq!(known(&gateway.fleet()), Some((Some(2), false)));
 }
 
@@ -280,17 +280,17 @@
     let (a, b) = (gateway_with(&[]), gateway_with(&[]));
     let first = || vec![Registration::Present(row(Some(1), 3))];
     for gateway in [&a, &b] {
-        merge(gateway, first(), true, 3, Instant::now());
+        merge_from_store(gateway, first(), true, 3, Instant::now());
     }
     let again = vec![Registration::Present(row(Some(2), 4))];
-    merge(&a, again, false, 4, Instant::now());
+    merge_from_store(&a, again, false, 4, Instant::now());
     let told: RegistryChanges = a.changes_since(3).unwrap();
     assert_eq!((told.is_whole, told.present.len()), (false, 1));
     assert!(take_changes(&b, told, Instant::now()), "both know the same");
     assert_eq!(known(&b.fleet()), Some((Some(2), false)));
     // Heartbeats change no more than the row's version, and aren't told.
     let beat = vec![Registration::Present(row(Some(2), 6))];
-    merge(&a, beat, false, 6, Instant::now());
+    merge_from_store(&a, beat, false, 6, Instant::now());
     assert!(a.changes_since(4).unwrap().present.is_empty());
     assert_eq!(a.fleet().view(), b.fleet().view());
 }
@@ -306,12 +306,12 @@
     let both = || vec![row(Some(1), 1), other.clone()];
     for gateway in [&a, &b] {
         let read = both().into_iter().map(Registration::Present).collect();
-        merge(gateway, read, true, 1, now);
+        merge_from_store(gateway, read, true, 1, now);
         // What is missing now may come back; what can't be read isn't missing.
         gateway.missing().open(now);
     }
     let read = vec![unreadable("i-1", 2), Registration::Present(other.clone())];
-    merge(&a, read, true, 2, now);
+    merge_from_store(&a, read, true, 2, now);
     assert_eq!(known(&a.fleet()), None);
     assert!(a.fleet().find("i-2").is_some());
     assert!(a.missing().is_empty());
@@ -324,8 +324,8 @@
     assert!(b.fleet().find("i-2").is_some());
     // A row of a version that isn't newer takes nothing out.
     let back = vec![Registration::Present(row(Some(1), 3))];
-    merge(&a, back, false, 3, now);
-    merge(&a, vec![unreadable("i-1", 2)], false, 4, now);
+    merge_from_store(&a, back, false, 3, now);
+    merge_from_store(&a, vec![unreadable("i-1", 2)], false, 4, now);
     assert_eq!(known(&a.fleet()), Some((Some(1), false)));
 }
 
@@ -333,7 +333,7 @@
 fn an_upstream_that_is_held_back_is_out_once_its_entry_cant_be_read() {
     let gateway = gateway_with(&[]);
     let now = Instant::now();
-    merge(
+    merge_from_store(
         &gateway,
         vec![Registration::Present(row(Some(1), 1))],
         true,
@@ -341,9 +341,9 @@
         now,
     );
     gateway.missing().open(now);
-    merge(&gateway, Vec::new(), true, 2, now);
+    merge_from_store(&gateway, Vec::new(), true, 2, now);
     assert!(known(&gateway.fleet()).is_some(), "it may come back");
-    merge(&gateway, vec![unreadable("i-1", 3)], false, 3, now);
+    merge_from_store(&gateway, vec![unreadable("i-1", 3)], false, 3, now);
     assert_eq!(known(&gateway.fleet()), None);
     assert!(gateway.missing().is_empty());
 }
@@ -354,11 +354,11 @@
     let now = Instant::now();
     for (version, start) in [(1, Some(1)), (2, None), (3, None)] {
         let read = vec![Registration::Present(row(start, version))];
-        merge(&gateway, read, false, version, now);
+        merge_from_store(&gateway, read, false, version, now);
         assert_eq!(known(&gateway.fleet()).is_some(), start.is_some());
     }
     let read = vec![Registration::Present(row(Some(1), 4))];
-    merge(&gateway, read, false, 4, now);
+    merge_from_store(&gateway, read, false, 4, now);
     assert!(known(&gateway.fleet()).is_some());
 }
 
@@ -375,15 +375,15 @@
     };
     for (version, expected) in [(1, 1), (1, 1), (2, 2), (2, 2)] {
         let read = vec![unreadable("bad", version)];
-        merge(&gateway, read, true, version, Instant::now());
+        merge_from_store(&gateway, read, true, version, Instant::now());
         assert_eq!(counted(), expected);
     }
     // A flood of keys and versions is counted, and what is remembered is bounded.
     let flood = (0..20_000).map(|n| unreadable(&format!("bad-{n}"), 3));
-    merge(&gateway, flood.collect(), false, 3, Instant::now());
+    merge_from_store(&gateway, flood.collect(), false, 3, Instant::now());
     assert_eq!(counted(), 20_002);
     // What was told of old versions is forgotten by then.
-    merge(
+    merge_from_store(
         &gateway,
         vec![unreadable("bad", 2)],
         false,
@@ -395,7 +395,7 @@
 
 #[test]
 fn a_flood_of_unreadable_entries_leaves_the_log_to_others() {
-    let mut told = Told::default();
+    let mut told = UnreadableLog::default();
     let now = Instant::now();
     let mut logged = |versions: std::ops::Range<u64>, now| {
         let rows = versions.map(|version| UnreadableRow {
@@ -403,8 +403,8 @@
             row: version,
             why: Unreadable::Start,
         });
-        let told = rows.map(|row| told.note(&row, now));
-        told.filter(|t| *t == Telling::CountAndLog).count()
+        let told = rows.map(|row| told.classify(&row, now));
+        told.filter(|t| *t == LogAction::CountAndLog).count()
     };
     assert_eq!(logged(1..5000, now), 20);
     assert_eq!(logged(1..5000, now + Duration::from_secs(2)), 0);
--- a/crates/gateway/tests/tenants.rs
+++ b/crates/gateway/tests/tenants.rs
@@ -81,7 +81,7 @@
     assert_eq!(second.admit(closed, Some(key(1))), Err(Denied::RemovedKey));
     let removed = second.tenants().unwrap().removed(key(1)).unwrap();
     assert_eq!((&*removed.tenant, removed.version), ("t0", 5));
-    assert_eq!(second.tenants().unwrap().removed_by(5), 1);
+    assert_eq!(second.tenants().unwrap().removed_count(5), 1);
 }
 
 #[test]
--- a/crates/gateway/tests/usage_decisions.rs
+++ b/crates/gateway/tests/usage_decisions.rs
@@ -1,10 +1,10 @@
 //! Who reports what, without a network: any order of holders, losses and late writes, of
 //! lost and doubled datagrams, and clocks that jump.
 
-use gateway::duty::usage::begun::Begun;
-use gateway::duty::usage::clock::{ROUND_EVERY, TrueTime};
+use gateway::duty::usage::clock::{FleetClock, ROUND_EVERY};
 use gateway::duty::usage::holder::{Action, Holder};
 use gateway::duty::usage::ledger::Ledger;
+use gateway::duty::usage::request_log::RequestLog;
 use platform::usage::{TenantCount, UsageRead, UsageReport};
 use platform::{Lease, Written};
 use proptest::collection::vec;
@@ -120,13 +120,13 @@
         }
         let now = self.begins + Duration::from_millis(self.now_ms);
         let ready = (self.now_ms / WINDOW_MS).checked_sub(1);
-        match self.holders[step.holder].next(0, ready, now) {
-            Action::Rest => {}
-            Action::Wait(_) => self.holders[step.holder].forget(),
+        match self.holders[step.holder].next_action(0, ready, now) {
+            Action::Idle => {}
+            Action::Wait(_) => self.holders[step.holder].invalidate(),
             Action::Read => self.read(step, now),
             Action::Write {
                 lease,
-                over,
+                expected_version: over,
                 window,
             } => {
                 let report = window.map(|w| counted_by(step.holder, self.now_ms, w));
@@ -151,7 +151,7 @@
             report: self.rows.report.clone(),
             now_ms: self.now_ms,
         };
-        self.holders[step.holder].was_read(read, now);
+        self.holders[step.holder].on_read(read, now);
     }
 
     fn write(&mut self, step: Step, write: Write, now: Instant) {
@@ -163,18 +163,18 @@
                         version: self.rows.version,
                         now_ms: self.now_ms,
                     };
-                    holder.was_written(write.lease, write.report, written, now);
+                    holder.on_written(write.lease, write.report, written, now);
                 }
-                false => holder.forget(),
+                false => holder.invalidate(),
             },
             Fate::AnswerLost => {
                 self.rows.write(&write);
-                holder.forget();
+                holder.invalidate();
             }
-            Fate::Lost => holder.forget(),
+            Fate::Lost => holder.invalidate(),
             Fate::Late => {
                 self.rows.late.push(write);
-                holder.forget();
+                holder.invalidate();
             }
         }
     }
@@ -190,7 +190,7 @@
             });
         }
         if matches!(step.fate, Fate::Answered) {
-            self.holders[step.holder].set_done(window);
+            self.holders[step.holder].set_done_window(window);
         }
     }
 }
@@ -285,7 +285,8 @@
         .run(&rounds, |rounds| {
             let begins = Instant::now();
             let mut now = begins;
-            let mut processes: Vec<Begun> = (1..=3).map(|n| Begun::new(n, || 0)).collect();
+            let mut processes: Vec<RequestLog> =
+                (1..=3).map(|n| RequestLog::new(n, || 0)).collect();
             let mut ledger = Ledger::default();
             let mut held_up = Vec::new();
             let names: [Arc<str>; 3] = ["a".into(), "b".into(), "c".into()];
@@ -295,24 +296,24 @@
                 let counts = [begun.0, begun.1, begun.2];
                 for (n, count) in counts.into_iter().enumerate() {
                     for _ in 0..count {
-                        processes[n].note(now, names[n].clone());
+                        processes[n].record(now, names[n].clone());
                     }
                     truth[n] += count;
                 }
                 for (n, fate) in fates.iter().enumerate() {
                     let from = ledger.position(ip(n as u8));
-                    let told = processes[n].since(from.start, from.next, 1, now);
+                    let told = processes[n].read_from(from.start, from.next, 1, now);
                     let at = ip(n as u8);
                     match fate {
                         Asked::Lost => {}
                         Asked::Late => held_up.push((at, told)),
                         Asked::Answered | Asked::Twice => {
-                            ledger.take(at, &told, now);
+                            ledger.add(at, &told, now);
                             if matches!(fate, Asked::Twice) {
-                                ledger.take(at, &told, now);
+                                ledger.add(at, &told, now);
                             }
                             for (at, told) in held_up.drain(..) {
-                                ledger.take(at, &told, now);
+                                ledger.add(at, &told, now);
                             }
                         }
                     }
@@ -322,8 +323,8 @@
                 let at = ip(n as u8);
                 loop {
                     let from = ledger.position(at);
-                    let told = process.since(from.start, from.next, 1, now);
-                    if !ledger.take(at, &told, now) {
+                    let told = process.read_from(from.start, from.next, 1, now);
+                    if !ledger.add(at, &told, now) {
                         break;
                     }
                 }
@@ -343,10 +344,10 @@
     let now = Instant::now();
     let mut ledger = Ledger::default();
     for start in [7, 3] {
-        let mut begun = Begun::new(start, || 0);
-        (0..5).for_each(|_| begun.note(now, "a".into()));
+        let mut begun = RequestLog::new(start, || 0);
+        (0..5).for_each(|_| begun.record(now, "a".into()));
         let from = ledger.position(ip(1));
-        ledger.take(ip(1), &begun.since(from.start, from.next, 1, now), now);
+        ledger.add(ip(1), &begun.read_from(from.start, from.next, 1, now), now);
     }
     let counted = ledger.count(now - Duration::from_secs(1), now + Duration::from_secs(1));
     assert_eq!(counted.requests, 10);
@@ -355,17 +356,21 @@
 #[test]
 fn what_was_dropped_before_it_was_asked_for_is_told_as_lost() {
     let now = Instant::now();
-    let mut begun = Begun::new(1, || 0);
-    begun.note(now, "a".into());
+    let mut begun = RequestLog::new(1, || 0);
+    begun.record(now, "a".into());
     let mut ledger = Ledger::default();
-    ledger.take(ip(1), &begun.since(0, 0, 1, now), now);
+    ledger.add(ip(1), &begun.read_from(0, 0, 1, now), now);
     let later = now + Duration::from_secs(300);
-    (0..4).for_each(|_| begun.note(now, "a".into()));
-    begun.forget(later);
-    begun.note(later, "a".into());
+    (0..4).for_each(|_| begun.record(now, "a".into()));
+    begun.expire(later);
+    begun.record(later, "a".into());
     let from = ledger.position(ip(1));
-    ledger.take(ip(1), &begun.since(from.start, from.next, 2, later), later);
-    assert_eq!(ledger.forget(later), 4);
+    ledger.add(
+        ip(1),
+        &begun.read_from(from.start, from.next, 2, later),
+        later,
+    );
+    assert_eq!(ledger.expire(later), 4);
     let counted = ledger.count(later, later + Duration::from_secs(1));
     assert_eq!(counted.requests, 1);
 }
@@ -375,14 +380,14 @@
     let begins = Instant::now();
     let until = begins + Duration::from_secs(5);
     let mut ledger = Ledger::default();
-    let (mut one, mut two) = (Begun::new(1, || 0), Begun::new(2, || 0));
-    one.note(begins, "a".into());
-    two.note(begins, "a".into());
-    ledger.take(ip(1), &one.since(0, 0, 1, until), until);
-    ledger.take(ip(2), &two.since(0, 0, 1, begins), begins);
+    let (mut one, mut two) = (RequestLog::new(1, || 0), RequestLog::new(2, || 0));
+    one.record(begins, "a".into());
+    two.record(begins, "a".into());
+    ledger.add(ip(1), &one.read_from(0, 0, 1, until), until);
+    ledger.add(ip(2), &two.read_from(0, 0, 1, begins), begins);
     let counted = ledger.count(begins, until);
     assert_eq!((counted.hosts, counted.silent), (1, 1));
-    ledger.take(ip(2), &two.since(2, 1, 1, until), until);
+    ledger.add(ip(2), &two.read_from(2, 1, 1, until), until);
     assert_eq!(ledger.count(begins, until).silent, 0);
 }
 
@@ -390,14 +395,14 @@
 /// rounds, as errors in milliseconds. `jump` gives the error of a host in a round.
 fn errors(rounds: u64, hosts: u64, jump: impl Fn(u64, u64) -> i64) -> Vec<i64> {
     let base = Instant::now();
-    let mut clock = TrueTime::new(base);
+    let mut clock = FleetClock::new(base);
     let mut out = Vec::new();
     for round in 0..rounds {
         let now = base + ROUND_EVERY * round as u32;
         let true_ms = 1_000_000 + now.duration_since(base).as_millis() as i64;
-        let beliefs = (0..hosts).map(|host| clock.belief(true_ms + jump(host, round), now));
+        let beliefs = (0..hosts).map(|host| clock.estimate_base(true_ms + jump(host, round), now));
         let beliefs = beliefs.collect();
-        clock.round(beliefs, now);
+        clock.add_round(beliefs, now);
         if let Some(ms) = clock.unix_ms(now) {
             out.push(ms - true_ms);
         }
@@ -433,12 +438,12 @@
 #[test]
 fn instants_and_true_times_are_each_others() {
     let base = Instant::now() + Duration::from_secs(100);
-    let mut clock = TrueTime::new(base);
+    let mut clock = FleetClock::new(base);
     assert_eq!(clock.unix_ms(base), None);
     for round in 0..2 {
         let now = base + ROUND_EVERY * round;
-        let belief = clock.belief(5_000_000 + i64::from(round) * 1000, now);
-        clock.round(vec![belief], now);
+        let belief = clock.estimate_base(5_000_000 + i64::from(round) * 1000, now);
+        clock.add_round(vec![belief], now);
     }
     for ms in [4_990_000, 5_000_000, 5_012_345] {
         let at = clock.instant(ms).unwrap();
