--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -1,8 +1,8 @@
-//! What one host does for all: orders to engines, reports of usage, orders for upstreams.
+//! Duties that one host performs for all hosts: orders to engines, usage reports and orders for
+//! upstreams.
 //!
-//! Each duty has a lease of its own in the store: reports renew theirs every few seconds,
-//! and after the loss of a host its orders to engines needn't wait for the reports' lease
-//! to run out.
+//! Each duty has its own lease in the store. The lease for reports is renewed every few seconds;
+//! with separate leases, orders to engines needn't wait for it to expire when a host is lost.
 
 pub mod lease;
 pub mod scaling;
@@ -16,12 +16,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an answer of the store.
+/// Timeout for an answer of the store.
 pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause after a lease that couldn't be taken or read.
+/// Pause after a failed attempt to take a lease.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Takes the lease of a duty; else the time until the next try.
+/// Takes the lease of a duty; on failure, returns the time until the next attempt.
 pub(crate) async fn take_lease(
     gateway: &Arc<Gateway>,
     client: &mut StoreClient,
@@ -38,7 +38,7 @@
     let lease = match lease::decide(duty, &read, &holder, host.order_gap) {
         Decision::Take(lease) => lease,
         Decision::Wait(pause) => {
-            log_not_taken(duty, format!("another host may act for {pause:?}"));
+            log_not_taken(duty, format!("lease not available for another {pause:?}"));
             return Err(pause);
         }
     };
@@ -48,8 +48,11 @@
             log_taken(duty, lease.token);
             Ok(HeldLease::new(duty, lease.token, since))
         }
-        Ok(LeaseWrite::Refused) => Err(log_not_taken(duty, "another host wrote it first".into())),
-        // It may be written now or later. The next read tells.
+        Ok(LeaseWrite::Refused) => Err(log_not_taken(
+            duty,
+            "lease was written by another host first".into(),
+        )),
+        // The write may have succeeded or may still take effect; the next read shows the result.
         Err(e) => Err(log_not_taken(duty, e.to_string())),
     }
 }
@@ -62,7 +65,7 @@
     });
 }
 
-/// Logs that a lease wasn't taken; gives the time until the next try.
+/// Logs that a lease wasn't taken, and returns the time until the next attempt.
 fn log_not_taken(duty: Duty, why: String) -> Duration {
     emit(&Event::LeaseNotTaken {
         duty: duty.name(),
--- a/crates/gateway/src/duty/lease.rs
+++ b/crates/gateway/src/duty/lease.rs
@@ -1,47 +1,46 @@
-//! Who may do what one host does for all.
+//! Rules for taking the lease of a duty.
 //!
-//! Two hosts must not act by turns, also if who is called can't tell an old call from a
-//! new one. So a host takes a lease over all of the time in which its calls may arrive,
-//! and another takes it only a while after its end.
-//! All times are of the store's steady clock; a process counts from before its
-//! read of that clock, so it gives up early, and a pause of the process shows.
+//! Calls of two hosts must not interleave, even if the receiver can't tell an old call from a new
+//! one. A host therefore takes a lease that covers the whole time in which its calls may arrive,
+//! and another host takes it over only some time after its end. All times are those of the
+//! store's monotonic clock. A process counts from before its read of that clock, so it stops
+//! early, and a pause of the process is accounted for.
 
 use platform::{Duty, Lease, LeaseRead};
 use std::time::{Duration, Instant};
 
-/// How long a lease for orders is taken for: reports and orders of a change take some
-/// 20 ms each, and a dark engine half a second.
+/// Duration of a lease for orders: reports and orders of a change take about 20 ms each, and an
+/// unresponsive engine half a second.
 const ORDERS_LEASE: Duration = Duration::from_secs(4);
-/// The same where one call is made. It is short so that another host takes over before
-/// the report is due of which the holder was lost.
+/// Duration of a lease for a single call. It is short, so that after the loss of its holder
+/// another host takes over before the report is due.
 const CALL_LEASE: Duration = Duration::from_millis(2500);
-/// Time before a lease's end from which no call is sent: its connection and a
-/// lost packet take up to that.
+/// Time before the end of a lease from which no call is sent, as connecting and one lost packet
+/// may take that long.
 const CALL_MARGIN: Duration = Duration::from_millis(1500);
-/// Added to the shortest time between calls of two hosts, for packets that were
-/// lost twice.
+/// Time added to the minimum gap between calls of two hosts, for packets that are lost twice.
 const GAP_MARGIN: Duration = Duration::from_secs(1);
 
 /// Whether a host may take the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// It may, by writing this.
+    /// The host may take the lease by writing this row.
     Take(Lease),
-    /// Not yet; it may look again after this time.
+    /// The lease isn't available yet; the host may check again after this time.
     Wait(Duration),
 }
 
 /// A lease that this process holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Its token.
+    /// Fencing token of the lease.
     pub token: u64,
-    /// When calls end, on this process's clock.
+    /// Time from which no call is sent, on this process's clock.
     calls_end_at: Instant,
 }
 
 impl HeldLease {
-    /// A lease that was written after a read that began at a time.
+    /// A lease that was written after a read that started at `read_started_at`.
     pub fn new(duty: Duty, token: u64, read_started_at: Instant) -> Self {
         Self {
             token,
@@ -55,7 +54,7 @@
     }
 }
 
-/// How long a lease is taken for.
+/// Duration of a lease.
 fn lease_duration(duty: Duty) -> Duration {
     match duty {
         Duty::Orders => ORDERS_LEASE,
@@ -63,8 +62,8 @@
     }
 }
 
-/// Decides by the lease as it was read whether a host may take it. `gap` is the
-/// shortest time between calls of two hosts.
+/// Decides, from the lease as it was read, whether a host may take it. `gap` is the minimum time
+/// between calls of two hosts.
 pub fn decide(duty: Duty, read: &LeaseRead, holder: &str, gap: Duration) -> Decision {
     let millis = |d: Duration| d.as_millis() as u64;
     if let Some(lease) = read.lease.as_ref().filter(|l| l.holder != holder) {
--- a/crates/gateway/src/duty/scaling.rs
+++ b/crates/gateway/src/duty/scaling.rs
@@ -1,10 +1,9 @@
-//! Orders for the number of upstreams, for services whose number is ours to choose.
+//! Autoscaling orders for services whose number of upstreams the system chooses.
 //!
-//! Nothing in [`Demand`] talks to anybody. What is observed is occupancy: how many requests
-//! run in an availability zone against the slots of an upstream. More are ordered as soon
-//! as they are needed, as each takes a while to start; fewer only when the busiest moment
-//! of a long span would have been served by fewer, so that a wave doesn't start and stop
-//! them.
+//! [`Demand`] performs no I/O. It observes occupancy: the number of requests that run in an
+//! availability zone compared to the slots of an upstream. Upstreams are added as soon as they
+//! are needed, as each takes a while to start. They are removed only if fewer would have served
+//! the peak of a long window, so that periodic load doesn't start and stop them.
 
 use super::{STORE_TIMEOUT, take_lease};
 use crate::fleet::{Fleet, ServiceKey};
@@ -16,41 +15,43 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the demand.
+/// Interval between samples of the demand.
 const SAMPLE_EVERY: Duration = Duration::from_millis(250);
-/// Part of the slots that the busiest moment is to take: the rest is for what comes while
-/// a new upstream starts.
+/// Fraction of the slots to be used at the peak. The rest serves additional load while a new
+/// upstream starts.
 const TARGET_UTILIZATION: f64 = 0.6;
-/// Span whose busiest moment counts, at least, and in times that an upstream takes to start.
+/// Minimum length of the window over which the peak is taken, and its length in multiples of an
+/// upstream's start time.
 const MIN_PEAK_WINDOW: Duration = Duration::from_secs(30);
 const PEAK_WINDOW_STARTS: u32 = 5;
-/// Time after an order in which the same zone gets no other, besides the start of an
-/// upstream.
+/// Time after an order, in addition to an upstream's start time, during which the same zone gets
+/// no further order.
 const ORDER_COOLDOWN: Duration = Duration::from_secs(3);
-/// Longest wait for an answer to an order.
+/// Timeout for an answer to an order.
 const CALL_TIMEOUT: Duration = STORE_TIMEOUT;
 
-/// What is observed of a service in an availability zone.
+/// Observed occupancy of a service in an availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneOccupancy {
-    /// Requests that run or wait there.
+    /// Requests that are running or waiting.
     pub running: u32,
-    /// Upstreams that take requests.
+    /// Upstreams that accept requests.
     pub upstreams: u32,
-    /// Slots of one of them.
+    /// Slots of one upstream.
     pub slots: u32,
 }
 
-/// The demand of a service in an availability zone.
+/// Demand for a service in an availability zone.
 #[derive(Debug)]
 pub struct Demand {
-    /// The most that ran at once in this half of the span, and in the one before.
+    /// Maximum number of concurrent requests in the current half of the window and in the
+    /// previous half.
     peaks: [u32; 2],
     half_started_at: Instant,
 }
 
 impl Demand {
-    /// No demand has been seen.
+    /// Demand without any samples.
     pub fn new(now: Instant) -> Self {
         Self {
             peaks: [0; 2],
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Notes what runs now.
+    /// Adds a sample of the current occupancy.
     pub fn sample(&mut self, occupancy: ZoneOccupancy, bounds: Scaling, now: Instant) {
         if now.saturating_duration_since(self.half_started_at) >= peak_window(bounds) / 2 {
             self.peaks = [0, self.peaks[0]];
@@ -67,7 +68,7 @@
         self.peaks[0] = self.peaks[0].max(occupancy.running);
     }
 
-    /// How many upstreams the zone should have, if that isn't what it has.
+    /// Number of upstreams that the zone should have, if it differs from the current one.
     pub fn desired_upstreams(&self, occupancy: ZoneOccupancy, bounds: Scaling) -> Option<u32> {
         let peak = self.peaks[0].max(self.peaks[1]).max(occupancy.running);
         let target = f64::from(occupancy.slots.max(1)) * TARGET_UTILIZATION;
@@ -75,13 +76,13 @@
         let needed = needed.clamp(bounds.least, bounds.most);
         match needed.cmp(&occupancy.upstreams) {
             std::cmp::Ordering::Greater => Some(needed),
-            // One at a time, so that what was misjudged is seen before the next.
+            // Removes one at a time, so that a wrong decision shows before the next.
             std::cmp::Ordering::Less => Some(needed.max(occupancy.upstreams - 1)),
             std::cmp::Ordering::Equal => None,
         }
     }
 
-    /// Whether the demand was watched long enough to order fewer upstreams.
+    /// Whether the demand has been observed long enough to remove upstreams.
     pub fn may_scale_down(&self, since: Instant, bounds: Scaling, now: Instant) -> bool {
         now.saturating_duration_since(since) >= peak_window(bounds)
     }
@@ -91,7 +92,7 @@
     MIN_PEAK_WINDOW.max(bounds.start * PEAK_WINDOW_STARTS)
 }
 
-/// A service in a zone that is watched.
+/// A service in a zone whose demand is observed.
 #[derive(Debug)]
 struct ScaledZone {
     service: ServiceKey,
@@ -101,8 +102,8 @@
     cooldown_until: Instant,
 }
 
-/// Watches all services whose number is ours to choose, and orders upstreams, until the
-/// process ends.
+/// Observes all services whose number of upstreams the system chooses, and sends orders, until
+/// the process ends.
 pub async fn run(gateway: Arc<Gateway>) {
     let mut client = StoreClient::new(&gateway);
     let mut zones: Vec<ScaledZone> = Vec::new();
@@ -130,8 +131,8 @@
     }
 }
 
-/// Takes the demand of all services in all zones; gives the orders that it calls for, with
-/// the place of what they are for.
+/// Samples the demand of all services in all zones. Returns the orders that it requires, each
+/// with the index of its zone in `zones`.
 fn plan_orders(
     gateway: &Gateway,
     zones: &mut Vec<ScaledZone>,
@@ -175,7 +176,7 @@
     orders
 }
 
-/// The zones in which a service has upstreams, with their use.
+/// The zones in which a service has upstreams, with their occupancy.
 fn occupancy_by_zone(fleet: &Fleet, service: ServiceKey) -> Vec<(String, ZoneOccupancy)> {
     let mut out: Vec<(String, ZoneOccupancy)> = Vec::new();
     for (_, upstream) in fleet.iter().filter(|(_, u)| u.service == service) {
@@ -197,7 +198,7 @@
     out
 }
 
-/// Gives an order under the lease; else the time until the next try.
+/// Sends an order under the lease; on failure, returns the time until the next attempt.
 async fn send_order(
     gateway: &Arc<Gateway>,
     client: &mut StoreClient,
--- a/crates/gateway/src/duty/usage.rs
+++ b/crates/gateway/src/duty/usage.rs
@@ -1,8 +1,8 @@
-//! Reports of usage: how many requests of each tenant began to run in each window.
+//! Usage reports: the number of requests per tenant that started to run in each window.
 //!
-//! Each process numbers its requests as they begin. Collectors, the first two of all
-//! processes, ask each for what they don't have yet; the first also decides each window's
-//! report, and sends it. See `docs/design/duties.md`.
+//! Each process numbers its requests as they start. The collectors, which are the first two of
+//! all processes, poll each process for requests that they don't have yet. The first collector
+//! also decides each window's report and sends it. See `docs/design/duties.md`.
 
 pub mod clock;
 pub mod exchange;
@@ -24,38 +24,38 @@
 
 pub use reports::run;
 
-/// Processes that collect, so that what they know outlasts one of them.
+/// Number of collectors, so that collected data survives the loss of one of them.
 const COLLECTORS: u32 = 2;
-/// A process that no collector has asked for this long collects itself, and so long
-/// further for each place that it has behind the first.
+/// Time without a poll by a collector after which a process becomes a collector itself, and the
+/// time added per place behind the first.
 const POLL_TIMEOUT: Duration = Duration::from_secs(3);
 const POLL_TIMEOUT_PER_PLACE: Duration = Duration::from_millis(500);
 
-/// What a process knows of usage.
+/// A process's state for usage reports.
 #[derive(Debug)]
 pub struct Usage {
     request_log: Mutex<RequestLog>,
     ledger: Mutex<Ledger>,
     clock: Mutex<FleetClock>,
     polls: Mutex<Polls>,
-    /// Last window whose report is through, by what this process found or heard.
+    /// Last window whose report is done, as found by this process or learned from a collector.
     done_window: AtomicU64,
 }
 
-/// Who has asked this process.
+/// Polls that this process has received.
 #[derive(Debug)]
 struct Polls {
     last_at: Instant,
-    /// The collectors of late, with the number of the first request that they lack.
+    /// Recent collectors, with the first request that each one needs next.
     collectors: Vec<Collector>,
 }
 
-/// A collector that has asked.
+/// A collector that has polled this process.
 #[derive(Debug, Clone, Copy)]
 struct Collector {
     ip: IpAddr,
     polled_at: Instant,
-    /// Number of the first request that it lacks.
+    /// Number of the first request that it doesn't have.
     next_needed: u64,
     start: u32,
 }
@@ -77,7 +77,7 @@
 }
 
 impl Usage {
-    /// Notes a request of a tenant that began to run at a time.
+    /// Records that a request of a tenant started to run at `at`.
     pub fn record(&self, at: Instant, tenant: &Arc<str>) {
         lock(&self.request_log).record(at, tenant.clone());
     }
@@ -111,13 +111,14 @@
     mutex.lock().expect("no panic while locked")
 }
 
-/// This process's time of day, in Unix milliseconds.
+/// This process's wall-clock time, in Unix milliseconds.
 fn time_of_day_ms() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as i64)
 }
 
-/// Whether usage is to be reported: the platform asks for it, and tenants are in force.
+/// Whether usage is to be reported: the platform requires it, and the current configuration has
+/// tenants.
 fn is_enabled(gateway: &Gateway) -> bool {
     let has_duty = gateway
         .host()
@@ -130,15 +131,15 @@
             .is_some_and(|table| table.tenants().is_some())
 }
 
-/// Whether this process collects.
+/// Whether this process is a collector.
 fn is_collector(gateway: &Gateway, now: Instant) -> bool {
     let rank = gateway.rank();
     let unpolled = now.saturating_duration_since(gateway.usage.polls().last_at);
     rank < COLLECTORS || unpolled > POLL_TIMEOUT + POLL_TIMEOUT_PER_PLACE * rank
 }
 
-/// Tells the collectors what they lack of this process's requests, before it ends. What
-/// nobody has asked for is lost with it, which is logged.
+/// Sends the collectors this process's remaining requests before it exits. Requests that no
+/// collector has polled for are lost, which is logged.
 pub async fn hand_over(gateway: &Arc<Gateway>) {
     if !is_enabled(gateway) {
         return;
@@ -147,19 +148,19 @@
     if lost > 0 {
         emit(&Event::UsageLost {
             requests: lost,
-            why: "the process ends, and no collector has asked for them",
+            why: "the process exits and no collector has polled it recently",
         });
     }
 }
 
-/// A request that is counted once, when an upstream begins to run it.
+/// Whether a request has been counted; each is counted once, when an upstream starts to run it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum UsageState {
-    /// It has not been sent.
+    /// The request hasn't been sent.
     #[default]
     NotSent,
-    /// It was sent at a time, and its upstream may run it.
+    /// The request was sent at this time, and its upstream may be running it.
     Sent(Instant),
-    /// It has been counted.
+    /// The request has been counted.
     Counted,
 }
--- a/crates/gateway/src/duty/usage/clock.rs
+++ b/crates/gateway/src/duty/usage/clock.rs
@@ -1,33 +1,33 @@
-//! True time, by what all hosts believe.
+//! Time of day agreed on by all hosts.
 //!
-//! Hosts' times of day may jump by seconds and back; each process's own steady clock
-//! doesn't. So what is kept is the difference between the two: at each round the middle of
-//! what all hosts say, and of the rounds of the last minute the middle again. A jump on
-//! fewer than half of all hosts changes nothing, and one on more of them nothing until it
-//! has lasted for half a minute.
+//! The wall clock of a host may jump by seconds and back, while each process's monotonic clock
+//! doesn't. The clock stores the difference between the two: in each round the median of all
+//! hosts, and then the median over the rounds of the last minute. A jump on fewer than half of
+//! the hosts has no effect, and one on more of them only after it has lasted for half a minute.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time between two rounds that are kept.
+/// Minimum time between two rounds.
 pub const ROUND_EVERY: Duration = Duration::from_secs(1);
-/// Rounds that are kept.
+/// Maximum number of rounds.
 const MAX_ROUNDS: usize = 60;
-/// Rounds that a first answer needs: a host that has just started may know itself alone.
+/// Minimum number of rounds for a result, as a host that has just started may only know its own
+/// time.
 const MIN_ROUNDS: usize = 2;
 
-/// True time as far as it is known.
+/// Time of day agreed on by all hosts.
 #[derive(Debug)]
 pub struct FleetClock {
-    /// Where this process's steady time is counted from.
+    /// Reference point on this process's monotonic clock.
     base: Instant,
-    /// Unix milliseconds at `base`, the middle of all hosts, by round.
+    /// Unix milliseconds at `base` by round, each the median over all hosts.
     rounds: VecDeque<i64>,
     last_round_at: Option<Instant>,
 }
 
 impl FleetClock {
-    /// Knows nothing yet.
+    /// A clock without any rounds.
     pub fn new(base: Instant) -> Self {
         Self {
             base,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// What a time of day that a host had at an instant makes `base`.
+    /// Estimates the Unix time at `base` from a host's wall-clock time at an instant.
     pub fn estimate_base(&self, time_of_day_ms: i64, at: Instant) -> i64 {
         time_of_day_ms.saturating_sub(self.steady_ms(at))
     }
 
-    /// Takes what hosts believe, one each, if a round is due.
+    /// Adds a round with one estimate per host, if a round is due.
     pub fn add_round(&mut self, mut estimates: Vec<i64>, now: Instant) {
         let since = self
             .last_round_at
@@ -64,12 +64,12 @@
         Some(median(&mut rounds))
     }
 
-    /// True time at an instant, in Unix milliseconds.
+    /// Agreed time at an instant, in Unix milliseconds.
     pub fn unix_ms(&self, at: Instant) -> Option<i64> {
         Some(self.base_ms()?.saturating_add(self.steady_ms(at)))
     }
 
-    /// The instant of a true time; none if this process can't name it.
+    /// Instant of an agreed time; `None` if it can't be represented.
     pub fn instant(&self, unix_ms: i64) -> Option<Instant> {
         let ms = unix_ms.checked_sub(self.base_ms()?)?;
         let span = Duration::from_millis(ms.unsigned_abs());
@@ -87,7 +87,7 @@
     }
 }
 
-/// The middle of some numbers, the lower of two.
+/// Median of some numbers, the lower of the two middle ones for an even count.
 fn median(numbers: &mut [i64]) -> i64 {
     numbers.sort_unstable();
     numbers[(numbers.len() - 1) / 2]
--- a/crates/gateway/src/duty/usage/exchange.rs
+++ b/crates/gateway/src/duty/usage/exchange.rs
@@ -1,8 +1,8 @@
-//! Asks other processes for the requests that began there, and answers such questions, in
-//! datagrams on a port of their own.
+//! Polls other processes for the requests that started there, and answers such polls, in
+//! datagrams on a separate port.
 //!
-//! A question or an answer that is lost is asked for again; an answer that comes twice
-//! tells nothing new, as requests are numbered.
+//! Lost queries and answers are repeated by the next poll; duplicate answers have no effect, as
+//! requests are numbered.
 
 use super::ledger::Position;
 use super::message::{Ask, Message, Told};
@@ -14,29 +14,30 @@
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
 
-/// Shortest time between two questions to one process: what a process that is killed
-/// hadn't told is lost, half of this time of its requests on average.
+/// Minimum interval between polls of one process. If a process is killed, its requests since the
+/// last poll are lost, on average those of half this interval.
 const POLL_EVERY: Duration = Duration::from_millis(250);
-/// Time added for each process that is asked, so that a collector asks at most a hundred
-/// a second; and the longest time in all.
+/// Additional interval per polled process, which limits a collector to a hundred polls per
+/// second, and the maximum interval.
 const POLL_EVERY_PER_PEER: Duration = Duration::from_millis(10);
 const MAX_POLL_PAUSE: Duration = Duration::from_millis(2500);
-/// A process that hasn't answered for so long is asked the less often.
+/// Time without an answer after which a process is polled less often.
 const SILENT_AFTER: Duration = Duration::from_secs(3);
 const POLL_SILENT_EVERY: Duration = Duration::from_secs(1);
-/// Longest time for which an answer is waited for.
+/// Maximum time to wait for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Beliefs about the time of day count for so long.
+/// Validity of an estimate of the time of day.
 const ESTIMATE_LIFETIME: Duration = Duration::from_secs(3);
-/// Largest datagram.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM: usize = 16 << 10;
-/// Collectors that are remembered.
+/// Maximum number of collectors that are remembered.
 const MAX_COLLECTORS: usize = 8;
-/// How often and with what pause the last requests are told before a process ends.
+/// Number of times that the last requests are sent before a process exits, and the pause between
+/// them.
 const FINAL_SENDS: u32 = 3;
 const FINAL_SEND_PAUSE: Duration = Duration::from_millis(20);
 
-/// A question that waits for its answer.
+/// A query that hasn't been answered.
 #[derive(Debug, Clone, Copy)]
 struct OpenQuery {
     ip: IpAddr,
@@ -44,7 +45,7 @@
     at: Instant,
 }
 
-/// What a host said its time of day was.
+/// Estimate of the time of day from a host's answer.
 #[derive(Debug, Clone, Copy)]
 struct TimeEstimate {
     ip: IpAddr,
@@ -52,7 +53,7 @@
     at: Instant,
 }
 
-/// The questions of this process that are open, and what the answers told of time.
+/// Open queries of this process, and the estimates of the time of day from the answers.
 #[derive(Debug, Default)]
 pub struct Queries {
     number: u32,
@@ -74,7 +75,7 @@
         number
     }
 
-    /// When the question was asked that an answer belongs to.
+    /// Closes the query that an answer belongs to, and returns the time at which it was sent.
     fn close_query(&mut self, ip: IpAddr, number: u32) -> Option<Instant> {
         let at = self
             .open
@@ -84,25 +85,25 @@
     }
 
     fn add_estimate(&mut self, ip: IpAddr, base_ms: i64, at: Instant) {
-        self.estimates.retain(|b| b.ip != ip);
+        self.estimates.retain(|e| e.ip != ip);
         self.estimates.push(TimeEstimate { ip, base_ms, at });
     }
 
     fn estimates(&mut self, now: Instant) -> Vec<i64> {
         self.estimates
-            .retain(|b| now.saturating_duration_since(b.at) < ESTIMATE_LIFETIME);
-        self.estimates.iter().map(|b| b.base_ms).collect()
+            .retain(|e| now.saturating_duration_since(e.at) < ESTIMATE_LIFETIME);
+        self.estimates.iter().map(|e| e.base_ms).collect()
     }
 }
 
-/// The socket for usage, and the questions asked over it.
+/// The socket for usage messages, and the queries sent over it.
 #[derive(Debug)]
 pub struct Exchange {
     socket: UdpSocket,
     queries: Mutex<Queries>,
 }
 
-/// Binds the port for usage; starts to hear and to ask.
+/// Binds the port for usage messages, and starts to receive and to poll.
 pub fn start(gateway: &Arc<Gateway>) -> Result<(), StartError> {
     let host = gateway.host();
     let addr = SocketAddr::new(host.ip, host.usage_port);
@@ -121,31 +122,31 @@
 async fn receive(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
-        // An error here means that an earlier datagram met a closed port.
+        // An error here means that an earlier datagram was sent to a closed port.
         let Ok((len, from)) = exchange.socket.recv_from(&mut buf).await else {
             continue;
         };
         let now = Instant::now();
         match wire::decode::<Message>(&buf[..len]) {
-            // Others may not know what tenants there are, nor say which windows are through.
+            // Other senders must not learn the tenants' names or report windows as done.
             Some(Message::Ask(ask)) if gateway.peers().knows(from.ip()) => {
                 let told = answer(&gateway.usage, from.ip(), ask, now);
                 send(&exchange.socket, from, &Message::Told(told));
             }
             Some(Message::Told(told)) => handle_told(&gateway, &exchange, from.ip(), &told, now),
-            // Any sender may send anything; peers of another version are logged by the
+            // Anyone can send invalid datagrams; peers of another version are logged by the
             // exchange of loads.
             Some(Message::Ask(_)) | None => {}
         }
     }
 }
 
-/// NB: a datagram that can't be sent now is as good as lost, and is asked for again.
+/// NB: a datagram that can't be sent now counts as lost, and is queried again.
 fn send(socket: &UdpSocket, to: SocketAddr, message: &Message) {
     let _ = socket.try_send_to(&wire::encode_compact(message), to);
 }
 
-/// Answers a collector.
+/// Answers a collector's query.
 fn answer(usage: &Usage, ip: IpAddr, ask: Ask, now: Instant) -> Told {
     usage.set_done_window(ask.done);
     let told = {
@@ -168,12 +169,12 @@
     told
 }
 
-/// Takes an answer, or what a process tells before it ends.
+/// Handles an answer, or the last message of a process that exits.
 fn handle_told(gateway: &Gateway, exchange: &Exchange, ip: IpAddr, told: &Told, now: Instant) {
     let is_known = gateway.peers().knows(ip);
     let mut queries = exchange.queries();
-    // One that waited while this process stood still is asked for again: nobody knows when
-    // it was made.
+    // An answer that waited while this process was paused is queried again, as the time at which
+    // it was made is unknown.
     let is_timely = |at: &Instant| {
         let took = now.saturating_duration_since(*at);
         took < ANSWER_TIMEOUT && !gateway.may_have_waited(now)
@@ -181,7 +182,7 @@
     let asked_at = queries.close_query(ip, told.number).filter(is_timely);
     let is_last = told.number == 0 && is_known;
     let at = match asked_at {
-        // The answer was made between the question and now.
+        // The answer was made at some time between the query and now.
         Some(asked_at) => asked_at + now.saturating_duration_since(asked_at) / 2,
         None if is_last => now,
         None => return,
@@ -217,7 +218,7 @@
     send(&exchange.socket, to, &Message::Ask(ask));
 }
 
-/// Asks all processes while this one collects, until it ends.
+/// Polls all processes while this one is a collector, until it ends.
 async fn poll_peers(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
     let mut silent_polled_at = Instant::now();
     loop {
@@ -248,7 +249,7 @@
     }
 }
 
-/// Takes this process's own requests, as any other's.
+/// Adds this process's own requests to the ledger like any other's.
 fn add_own_requests(gateway: &Gateway, queries: &mut Queries, now: Instant) {
     let usage = &gateway.usage;
     let ip = gateway.host().ip;
@@ -267,8 +268,9 @@
     queries.add_estimate(ip, base_ms, now);
 }
 
-/// Tells the collectors of late what they lack, a few times over, as nobody asks again.
-/// Gives how many requests no collector has asked for.
+/// Sends recent collectors the requests that they don't have yet. The messages are repeated, as
+/// no collector will query again. Returns the number of requests that no collector has polled
+/// for.
 pub async fn send_remaining(gateway: &Arc<Gateway>) -> u64 {
     let host = gateway.host();
     let now = Instant::now();
@@ -299,7 +301,7 @@
     }
 }
 
-/// Requests of this process that began in windows whose report isn't through.
+/// Requests of this process that started in windows whose report isn't done.
 fn unreported(gateway: &Gateway, now: Instant) -> u64 {
     let host = gateway.host();
     let length = host.cloud.as_ref().and_then(|c| c.usage).map(|u| u.window);
--- a/crates/gateway/src/duty/usage/holder.rs
+++ b/crates/gateway/src/duty/usage/holder.rs
@@ -1,34 +1,35 @@
-//! What the holder of the duty does next: pure, so that any order of holders, losses and
-//! late writes can be tried.
+//! Decides the next step of the host that reports usage. It performs no I/O, so that tests can
+//! try any order of holders, losses and late writes.
 //!
-//! A report is decided by a write under a condition, together with the lease, and only
-//! then sent, as it is written. The next one is decided when the last is through or past
-//! its use. So no two reports of a window differ, whoever sends them.
+//! A report is decided by a conditional write together with the lease, and is sent only
+//! afterwards, exactly as written. The next report is decided once the last one is done, which
+//! means that it was delivered or is too late to be useful. Two reports of the same window are
+//! therefore identical, regardless of who sends them.
 
 use crate::duty::lease::{self, Decision, HeldLease};
 use platform::usage::{UsageRead, UsageReport};
 use platform::{Duty, Lease, LeaseRead, Written};
 use std::time::{Duration, Instant};
 
-/// What is to be done.
+/// Next step of a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing.
+    /// Do nothing.
     Idle,
-    /// Another host may act until some time from now.
+    /// Another host may hold the lease; wait for this time.
     Wait(Duration),
     /// Read the rows.
     Read,
-    /// Write the lease over a version, and with it the report of a window if one is named.
+    /// Write the lease, and together with it the report of a window if one is given.
     Write {
-        /// The lease.
+        /// The new lease.
         lease: Lease,
-        /// Version of its row that is written over.
+        /// Version of its row that the write requires.
         expected_version: u64,
         /// Window whose report is decided.
         window: Option<u64>,
     },
-    /// Send the report that is written.
+    /// Send the report that was written.
     Send {
         /// Token of the lease.
         token: u64,
@@ -37,13 +38,13 @@
     },
 }
 
-/// What is known of the rows.
+/// Known content of the rows.
 #[derive(Debug, Clone)]
 struct Rows {
     lease: Option<Lease>,
     version: u64,
     report: Option<UsageReport>,
-    /// The store's clock at the latest, when `asked_at` was.
+    /// Upper bound of the store's clock at `asked_at`, in milliseconds.
     now_ms: u64,
     asked_at: Instant,
 }
@@ -53,16 +54,16 @@
 pub struct Holder {
     /// Address of the host, as text.
     name: String,
-    /// Shortest time between calls of two hosts.
+    /// Minimum time between calls of two hosts.
     gap: Duration,
     rows: Option<Rows>,
     held: Option<HeldLease>,
-    /// Last window whose report is through or past its use.
+    /// Last window whose report was delivered or is too late to be useful.
     done_window: u64,
 }
 
 impl Holder {
-    /// A host that knows nothing yet.
+    /// A host without any known state.
     pub fn new(name: String, gap: Duration) -> Self {
         Self {
             name,
@@ -73,40 +74,39 @@
         }
     }
 
-    /// Last window whose report is through or past its use.
+    /// Last window whose report was delivered or is too late to be useful.
     pub fn done_window(&self) -> u64 {
         self.done_window
     }
 
-    /// Notes that a window's report is through or past its use, as this host or another
-    /// found.
+    /// Records that a window's report was delivered or is too late to be useful, as this host or
+    /// another one found.
     pub fn set_done_window(&mut self, window: u64) {
         self.done_window = self.done_window.max(window);
     }
 
-    /// The last window whose report is decided, as far as the rows are known; none if none
-    /// ever was.
+    /// Last window whose report is decided, according to the known rows; `None` if there is none.
     pub fn decided_window(&self) -> Option<u64> {
         let report = self.rows.as_ref()?.report.as_ref();
         report.map(|r| r.window)
     }
 
-    /// The window whose report is to be decided next, given the first that can be; none
-    /// before the rows are known.
+    /// The window whose report is to be decided next, where `first` is the first possible one;
+    /// `None` before the rows are known.
     pub fn next_window(&self, first: u64) -> Option<u64> {
         let rows = self.rows.as_ref()?;
         let decided = rows.report.as_ref().map_or(0, |r| r.window);
         Some(first.max(decided.max(self.done_window).saturating_add(1)))
     }
 
-    /// The report that is written and not through.
+    /// The report that was written and isn't done.
     pub fn pending(&self) -> Option<&UsageReport> {
         let report = self.rows.as_ref()?.report.as_ref();
         report.filter(|r| r.window > self.done_window)
     }
 
-    /// What to do, if reports of windows up to `ready` may be decided and `first` is the
-    /// first of which this host could know anything.
+    /// The next step. Reports of windows up to `ready` may be decided, and `first` is the first
+    /// window that this host can have data for.
     pub fn next_action(&self, first: u64, ready: Option<u64>, now: Instant) -> Action {
         if ready.is_none_or(|ready| ready <= self.done_window) && self.pending().is_none() {
             return Action::Idle;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Notes a read that was asked for at a time.
+    /// Records a read that was requested at `asked_at`.
     pub fn on_read(&mut self, read: UsageRead, asked_at: Instant) {
         self.rows = Some(Rows {
             lease: read.lease,
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Notes a write that was asked for at a time and took effect.
+    /// Records a successful write that was requested at `asked_at`.
     pub fn on_written(
         &mut self,
         lease: Lease,
@@ -175,7 +175,7 @@
         });
     }
 
-    /// Forgets the rows: they were written by another, or a write's outcome isn't known.
+    /// Discards the known rows, after another host wrote them or a write's outcome is unknown.
     pub fn invalidate(&mut self) {
         self.rows = None;
         self.held = None;
--- a/crates/gateway/src/duty/usage/ledger.rs
+++ b/crates/gateway/src/duty/usage/ledger.rs
@@ -1,4 +1,4 @@
-//! Requests of all processes that began to run, as a collector knows them.
+//! A collector's record of the requests that started to run on all processes.
 
 use super::message::Told;
 use super::request_log::{Entry, RETENTION};
@@ -8,29 +8,29 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Most starts of processes that are kept, as any sender may claim to be one.
+/// Maximum number of process starts, as any sender can claim to be a new one.
 const MAX_LOGS: usize = 2048;
 
-/// What one start of a process has told.
+/// Requests received from one start of a process.
 #[derive(Debug)]
 struct ProcessLog {
     ip: IpAddr,
     start: u32,
     /// Number of the next request that isn't known.
     next: u64,
-    /// When it last told all that it had.
+    /// Time of its last answer after which nothing was left to query.
     complete_at: Option<Instant>,
     last_heard_at: Instant,
-    /// In the order in which they were told.
+    /// In the order in which they were received.
     entries: VecDeque<Entry>,
-    /// Requests that it had dropped before they were asked for.
+    /// Requests that the process had dropped before they were queried.
     missed: u64,
 }
 
-/// Where a process stands, to be asked for what follows.
+/// Position in a process's log from which to query.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Position {
-    /// Its start; 0 if it is unknown.
+    /// Identifier of the process's start, 0 if unknown.
     pub start: u32,
     /// Number of the next request that isn't known.
     pub next: u64,
@@ -41,25 +41,25 @@
 pub struct Ledger {
     /// Sorted by address and start.
     logs: Vec<ProcessLog>,
-    /// Sorted; the entries share them.
+    /// Sorted; entries share these strings.
     names: Vec<Arc<str>>,
 }
 
-/// Counts of a span of time, and how far they can be trusted.
+/// Request counts of a time span, and how complete they are.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WindowCount {
     /// Requests by tenant, sorted by name.
     pub counts: Vec<TenantCount>,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: u64,
-    /// Processes that told of all of it.
+    /// Processes whose requests are known for the whole span.
     pub hosts: usize,
-    /// Processes that were heard of and haven't told of all of it.
+    /// Processes heard from whose requests aren't known for the whole span.
     pub silent: usize,
 }
 
 impl Ledger {
-    /// Where a process stands.
+    /// Position up to which a process's requests are known.
     pub fn position(&self, ip: IpAddr) -> Position {
         let logs = self.logs.iter().filter(|log| log.ip == ip);
         let newest = logs.max_by_key(|log| log.last_heard_at);
@@ -69,8 +69,8 @@
         })
     }
 
-    /// Takes what a process told, as of a time by this process's clock. Says whether it has
-    /// more to tell.
+    /// Adds the requests that a process sent, where `at` is the time of its message by this
+    /// process's clock. Returns whether more requests are available there.
     pub fn add(&mut self, ip: IpAddr, told: &Told, at: Instant) -> bool {
         let Some(log_index) = self.log_index(ip, told.start, at) else {
             return false;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Counts the requests that began from one time until before another.
+    /// Counts the requests that started at or after `from` and before `until`.
     pub fn count(&self, from: Instant, until: Instant) -> WindowCount {
         let entries = self.logs.iter().flat_map(|log| &log.entries);
         let within = entries.filter(|e| e.at >= from && e.at < until);
@@ -158,12 +158,12 @@
         }
     }
 
-    /// Processes that have told all of a span of time, and those that were heard in it and
-    /// haven't.
+    /// Numbers of processes whose requests are known for the whole span, and of those that were
+    /// heard from since its start but aren't complete.
     pub fn coverage(&self, from: Instant, until: Instant) -> (usize, usize) {
         let is_complete = |log: &&ProcessLog| log.complete_at.is_some_and(|at| at >= until);
         let complete = self.logs.iter().filter(is_complete).count();
-        // Who was last heard before the span had no part in it.
+        // A process last heard from before the span had no part in it.
         let heard = self
             .logs
             .iter()
@@ -172,20 +172,20 @@
         (complete, heard.saturating_sub(complete))
     }
 
-    /// When the earliest request began that is known.
+    /// Start time of the earliest known request.
     pub fn earliest(&self) -> Option<Instant> {
         let entries = self.logs.iter().flat_map(|log| &log.entries);
         entries.map(|e| e.at).min()
     }
 
-    /// When a process was last heard.
+    /// Time at which a process was last heard from.
     pub fn last_heard_at(&self, ip: IpAddr) -> Option<Instant> {
         let logs = self.logs.iter().filter(|log| log.ip == ip);
         logs.map(|log| log.last_heard_at).max()
     }
 
-    /// Drops what is too old to be reported; gives how many requests had been dropped by
-    /// their processes before this one heard of them.
+    /// Drops entries that are too old to be reported. Returns the number of requests that
+    /// processes had dropped before this collector queried them.
     pub fn expire(&mut self, now: Instant) -> u64 {
         let is_kept = |at: Instant| now.saturating_duration_since(at) <= RETENTION;
         let mut missed = 0;
--- a/crates/gateway/src/duty/usage/message.rs
+++ b/crates/gateway/src/duty/usage/message.rs
@@ -1,53 +1,54 @@
-//! What processes tell each other of usage, in datagrams.
+//! Datagrams for usage reports, exchanged between processes.
 
 use serde::{Deserialize, Serialize};
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A collector asks for requests that began to run.
+    /// A collector requests the requests that started to run.
     Ask(Ask),
-    /// The answer.
+    /// The answer to [`Message::Ask`].
     Told(Told),
 }
 
-/// A collector's question.
+/// A collector's query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Names the question; the answer bears it.
+    /// Identifier of the query, repeated in the answer.
     pub number: u32,
-    /// Start of the process that is asked, as far as it is known.
+    /// Identifier of the queried process's start, 0 if unknown.
     pub start: u32,
-    /// Number of the first request that the collector hasn't got.
+    /// Number of the first request that the collector doesn't have.
     pub from: u64,
-    /// The last window whose report is through, as far as the collector knows.
+    /// Last window whose report is done, as far as the collector knows.
     pub done: u64,
 }
 
-/// Requests of one start of a process that began to run.
+/// Requests that started to run during one start of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// The question's; 0 for what is told unasked, as by a process that ends.
+    /// Identifier of the query, 0 if sent without one, as by a process that exits.
     pub number: u32,
-    /// Drawn at each start of a process.
+    /// Random identifier of the process's start.
     pub start: u32,
-    /// Number of the first request that is told; later than asked if earlier ones are gone.
+    /// Number of the first request in `begun`; higher than requested if earlier ones have been
+    /// dropped.
     pub from: u64,
-    /// Number of the next request to come: those that didn't fit are asked for again.
+    /// Number that the next request will get. Requests that didn't fit are queried again.
     pub next: u64,
-    /// Time of day at the process, in Unix milliseconds.
+    /// Wall-clock time of the process, in Unix milliseconds.
     pub time_of_day_ms: i64,
-    /// Names of tenants that the entries mean.
+    /// Names of the tenants that `begun` refers to.
     pub tenants: Vec<String>,
-    /// The requests, by number.
+    /// The requests, ordered by number.
     pub begun: Vec<BegunAt>,
 }
 
-/// One request that began to run.
+/// A request that started to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BegunAt {
-    /// How long ago, in milliseconds.
+    /// Time since it started, in milliseconds.
     pub ago_ms: u32,
-    /// Place of its tenant among the names.
+    /// Index of its tenant in [`Told::tenants`].
     pub tenant: u16,
 }
--- a/crates/gateway/src/duty/usage/reports.rs
+++ b/crates/gateway/src/duty/usage/reports.rs
@@ -14,30 +14,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at whether a report is due.
+/// Interval between checks whether a report is due.
 const CHECK_EVERY: Duration = Duration::from_millis(100);
-/// Time after a window's end in which requests that were sent in it show whether they
-/// began: the longest that plain ones are waited for, and two questions to each process.
+/// Time after a window's end until it is known which requests sent in the window started: the
+/// longest timeout of plain requests, and two polls of each process.
 const SETTLE_TIME: Duration = Duration::from_millis(1600);
-/// The same while a process that had told of some hasn't told of all.
+/// The same while a process that has sent some requests of the window hasn't sent all of them.
 const SETTLE_TIME_SILENT: Duration = Duration::from_millis(3500);
-/// How much longer each process waits behind the one that acts before it, and the places
-/// that are told apart.
+/// Additional wait per place behind the first process, and the maximum number of places.
 const SETTLE_TIME_PER_PLACE: Duration = Duration::from_millis(2500);
 const MAX_PLACES: u32 = 3;
-/// Time between two looks for what is too old to be reported.
+/// Interval between removals of entries that are too old to be reported.
 const EXPIRE_EVERY: Duration = Duration::from_secs(1);
-/// Longest wait for an answer to a report.
+/// Timeout for an answer to a report.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after a call that wasn't done, doubled each time up to the longest.
+/// Initial and maximum pause after a failed call; the pause doubles each time.
 const RETRY_BACKOFF: (Duration, Duration) =
     (Duration::from_millis(400), Duration::from_millis(3000));
-/// How long after its due time a report is still sent: a late one is better than none.
+/// Time after its due time for which a report is still sent, as a late report is better than
+/// none.
 const MAX_LATENESS: Duration = Duration::from_secs(20);
 
-/// Most skipped windows that are logged one by one: the nearest.
+/// Maximum number of skipped windows that are logged individually, newest first.
 const MAX_SKIPPED_LOGGED: usize = 12;
-/// Name in logs of what takes the reports.
+/// Name of the usage endpoint in logs.
 const CLOUD_DEPENDENCY: &str = "cloud/usage";
 
 /// Reports usage until the process ends.
@@ -62,13 +62,13 @@
     started_at: Instant,
     last_expired_at: Instant,
     retry_pause: Duration,
-    /// Where the last window ended that this process decided, so that none is counted
-    /// twice when true time is corrected.
+    /// Last window that this process decided, and its end. The next window starts there, so that
+    /// no request is counted twice when the agreed time is corrected.
     counted_until: Option<(u64, Instant)>,
     cloud_lost_at: Option<Instant>,
 }
 
-/// A window as this process sees it.
+/// A window on this process's monotonic clock.
 #[derive(Debug, Clone, Copy)]
 struct Window {
     from: Instant,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Does the next thing; gives the pause after it.
+    /// Performs the next step and returns the pause after it.
     async fn step(&mut self, client: &mut StoreClient, now: Instant) -> Duration {
         self.expire(now);
         self.holder
@@ -107,8 +107,9 @@
             Action::Idle => Duration::ZERO,
             Action::Wait(pause) => {
                 self.holder.invalidate();
-                // Once the lease is free all may take it; the first of those that collected
-                // beside the lost holder knows what only that one had told.
+                // Once the lease expires, any collector may take it. The first one goes ahead, as
+                // it collected alongside the lost holder and may have data that only that one
+                // received.
                 pause + SETTLE_TIME_PER_PLACE * self.gateway.rank().min(MAX_PLACES)
             }
             Action::Read => self.read(client, now).await,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Drops now and then what is too old to be reported.
+    /// Periodically drops entries that are too old to be reported.
     fn expire(&mut self, now: Instant) {
         if now.saturating_duration_since(self.last_expired_at) < EXPIRE_EVERY {
             return;
@@ -131,12 +132,12 @@
         if missed > 0 {
             emit(&Event::UsageLost {
                 requests: missed,
-                why: "they were dropped before they were asked for",
+                why: "they were dropped before a collector queried them",
             });
         }
     }
 
-    /// The first window of which this process could know anything.
+    /// First window that this process can have data for.
     fn first_window(&self, now: Instant) -> Option<u64> {
         let earliest = self.gateway.usage.ledger().earliest();
         let kept = now.checked_sub(RETENTION).unwrap_or(now);
@@ -146,7 +147,7 @@
         self.window_at(first)
     }
 
-    /// Number of the window at an instant.
+    /// Number of the window that contains an instant.
     fn window_at(&self, at: Instant) -> Option<u64> {
         let length_ms = self.length_ms()?;
         let unix_ms = self.gateway.usage.clock().unix_ms(at)?;
@@ -171,7 +172,7 @@
         Some(Window { from, until })
     }
 
-    /// The last window whose report may be decided now.
+    /// Last window whose report may be decided now.
     fn last_ready(&self, now: Instant) -> Option<u64> {
         let place_delay = SETTLE_TIME_PER_PLACE * self.gateway.rank().min(MAX_PLACES);
         let settled = now.checked_sub(SETTLE_TIME + place_delay)?;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Gives up a report that nobody has a use for any more.
+    /// Gives up a report that is too late to be useful.
     fn drop_expired(&mut self, now: Instant) {
         let Some(window) = self.holder.pending().map(|r| r.window) else {
             return;
@@ -202,7 +203,7 @@
             return;
         };
         if now.saturating_duration_since(bounds.until) > due.due + MAX_LATENESS {
-            self.give_up(window, "it couldn't be sent in time to be of use".into());
+            self.give_up(window, "it couldn't be delivered in time".into());
         }
     }
 
@@ -254,9 +255,13 @@
             }
             Ok(LeaseWrite::Refused) => {
                 self.holder.invalidate();
-                log_not_taken(Duty::Usage, "another host wrote it first".into())
+                log_not_taken(
+                    Duty::Usage,
+                    "lease was written by another host first".into(),
+                )
             }
-            // It may be written now or later. The next read tells.
+            // The write may have succeeded or may still take effect; the next read shows the
+            // result.
             Err(e) => {
                 self.holder.invalidate();
                 log_not_taken(Duty::Usage, e.to_string())
@@ -336,13 +341,14 @@
     }
 }
 
-/// Logs the windows between two that were decided: nobody has their requests any more.
+/// Logs the windows between the last decided one and this one, whose requests are no longer
+/// available.
 fn log_skipped(before: Option<u64>, number: u64) {
     let first = before.map_or(number, |before| before + 1);
     for window in (first..number).rev().take(MAX_SKIPPED_LOGGED) {
         emit(&Event::UsageMissed {
             window,
-            why: "no process that holds the duty has its requests any more".into(),
+            why: "its requests are no longer available".into(),
         });
     }
 }
--- a/crates/gateway/src/duty/usage/request_log.rs
+++ b/crates/gateway/src/duty/usage/request_log.rs
@@ -1,45 +1,46 @@
-//! Requests of this process that began to run, by tenant.
+//! Log of this process's requests that started to run, by tenant.
 //!
-//! Each is numbered, so that who collects them asks for those after the last that it has
-//! and an answer that is lost or comes twice changes nothing.
+//! Requests are numbered, so that a collector can query those after the last one that it has.
+//! Lost and duplicate answers therefore have no effect.
 
 use super::message::{BegunAt, Told};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a request is kept: its window's end, its report's time to be due and as much
-/// again, for a new collector after a loss of the store.
+/// Retention of a request: the time to the end of its window, the time until its report is due,
+/// and the same again for a new collector after an outage of the store.
 pub const RETENTION: Duration = Duration::from_secs(40);
-/// Most requests that are kept: 3 MB, 2,500 requests a second over all of that time.
+/// Maximum number of requests in the log: 3 MB, or 2,500 requests per second over the whole
+/// retention.
 const MAX_ENTRIES: usize = 100_000;
-/// Most requests that one answer tells of, and most bytes of tenants' names in it, so that
-/// it stays a datagram of some 8 KB.
+/// Maximum number of requests in one answer, and maximum total length of the tenant names in it,
+/// which keep the datagram at about 8 KB.
 const MAX_REQUESTS_PER_ANSWER: usize = 800;
 const MAX_NAME_BYTES: usize = 3000;
 
-/// A request that began to run.
+/// A request that started to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// When.
+    /// Time at which it started.
     pub at: Instant,
     /// Name of its tenant.
     pub tenant: Arc<str>,
 }
 
-/// The requests of this process that began of late.
+/// Recent requests of this process.
 #[derive(Debug)]
 pub struct RequestLog {
     start: u32,
-    /// Number of the first that is kept.
+    /// Number of the oldest entry.
     first_number: u64,
     entries: VecDeque<Entry>,
-    /// Time of day by this process, in Unix milliseconds, for who collects.
+    /// Returns this process's wall-clock time for collectors, in Unix milliseconds.
     time_of_day: fn() -> i64,
 }
 
 impl RequestLog {
-    /// None yet, for a start of the process.
+    /// An empty log for a start of the process.
     pub fn new(start: u32, time_of_day: fn() -> i64) -> Self {
         Self {
             start,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Notes a request that began at a time.
+    /// Adds a request that started at `at`.
     pub fn record(&mut self, at: Instant, tenant: Arc<str>) {
         if self.entries.len() >= MAX_ENTRIES {
             self.drop_oldest();
@@ -57,7 +58,7 @@
         self.entries.push_back(Entry { at, tenant });
     }
 
-    /// Drops what is too old to be reported.
+    /// Drops entries that are too old to be reported.
     pub fn expire(&mut self, now: Instant) {
         while self
             .entries
@@ -73,20 +74,19 @@
         self.first_number += 1;
     }
 
-    /// Requests that are kept and began at a time or later; all that are kept if none is
-    /// given.
+    /// Number of entries that started at or after `at`; of all entries if it is `None`.
     pub fn count_since(&self, at: Option<Instant>) -> u64 {
         let kept = self.entries.iter();
         kept.filter(|e| at.is_none_or(|at| e.at >= at)).count() as u64
     }
 
-    /// Number of the next request.
+    /// Number that the next request will get.
     pub fn next_number(&self) -> u64 {
         self.first_number + self.entries.len() as u64
     }
 
-    /// The requests from a number on, of a start of this process; all that are kept, if it
-    /// is another start.
+    /// An answer with the requests from number `from` of this process's start `start`, or from
+    /// the oldest entry if `start` is another one. `number` identifies the query.
     pub fn read_from(&self, start: u32, from: u64, number: u32, now: Instant) -> Told {
         let from = match start == self.start {
             true => from.clamp(self.first_number, self.next_number()),
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,33 +1,32 @@
-//! Events of a stream, as far as resuming needs them.
+//! Splits a stream into server-sent events, as far as resuming requires it.
 //!
-//! Bytes are passed on as they came; only the ends of events and their ids are
-//! looked for. An upstream may stop in the middle of an event: what follows the
-//! last whole event is held until its rest comes, so that a stream can go on
-//! elsewhere after it.
+//! Bytes are passed on unchanged; only the ends and ids of events are parsed. An upstream may
+//! stop in the middle of an event. Bytes after the last complete event are held back until the
+//! event is complete, so that the stream can be resumed at another upstream after that event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held. Beyond it the stream counts as malformed.
+/// Maximum length of an incomplete event. If it is exceeded, the stream counts as malformed.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into runs of whole events.
+/// Splits a stream into sequences of complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
     last_id: Option<u64>,
 }
 
-/// The stream isn't made of events, or an event is missing.
+/// The stream is malformed or incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadStream {
-    /// An event is larger than any upstream sends.
+    /// An event is larger than any that upstreams send.
     TooLong,
-    /// An event's id doesn't follow the one before.
+    /// An event's id doesn't follow the previous one.
     Gap,
 }
 
 impl EventSplitter {
-    /// A cutter for a stream that goes on after an event.
+    /// A splitter for a stream that continues after event `last_id`.
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
             partial: BytesMut::new(),
@@ -35,22 +34,22 @@
         }
     }
 
-    /// Id of the last event that was cut off.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether a part of an event is held.
+    /// Whether part of an event is held back.
     pub fn is_mid_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Adds bytes; gives the whole events that can be passed on now. Events that
-    /// were passed on before, by their ids, are left out.
+    /// Adds bytes and returns the complete events that can be passed on now. Events whose ids
+    /// were passed on before are left out.
     pub fn push(&mut self, data: &[u8]) -> Result<Bytes, BadStream> {
         self.partial.extend_from_slice(data);
         let mut out = BytesMut::new();
-        // What is cut off before a bad event isn't passed on with an error.
+        // On error, the events before the bad one aren't passed on either.
         let last_id_before = self.last_id;
         while let Some(end) = event_end(&self.partial) {
             let event = self.partial.split_to(end);
@@ -80,7 +79,7 @@
     }
 }
 
-/// Where the first event ends, past its blank line.
+/// End of the first event, after its blank line.
 fn event_end(buf: &[u8]) -> Option<usize> {
     let lf = buf.windows(2).position(|w| w == b"\n\n").map(|at| at + 2);
     let crlf = buf
@@ -93,7 +92,7 @@
     }
 }
 
-/// The id in an event's lines, if it has one.
+/// Id of an event, if it has one.
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|b| *b == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,7 +1,7 @@
 //! Follows the configuration and the registry in the store.
 //!
-//! The configuration is awaited by a read that the store answers when it changes.
-//! While the store doesn't answer, the process goes on with what it knows.
+//! The configuration is read by long polling: the store answers when it changes. While the store
+//! is unavailable, the process continues with its last known state.
 
 pub mod registry;
 pub mod unreadable;
@@ -16,39 +16,39 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Processes that read the store often. The others hear from them and read it
-/// themselves only when these fall silent: each call is paid for, and 31
-/// processes that all read made it the dearest of all prices (0.042 of the worth).
+/// Processes that read the store frequently. The others receive updates from them, and read the
+/// store themselves only if these stop sending: each call to the store is charged, and with 31
+/// processes that all read, calls were the largest cost of all.
 const FREQUENT_READERS: u32 = 2;
-/// How long the store may hold a reader's read of the configuration. A read on a
-/// connection that was cut is noticed after this time and [`ANSWER_TIMEOUT`],
-/// within the time after a cut in which bounds don't count yet (3 s).
+/// Time for which the store may hold a reader's read of the configuration. A broken connection is
+/// noticed after this time plus [`ANSWER_TIMEOUT`], within the 3 s after an interruption in which
+/// no time limits apply.
 const CONFIG_WAIT: Duration = Duration::from_millis(2000);
-/// The same for the others, whom the readers tell of a new version: as long as the
-/// store allows, as each call is paid for.
+/// Hold time for all other processes, which the readers notify of a new version. It is the
+/// maximum that the store allows, as each call is charged.
 const LONG_CONFIG_WAIT: Duration = Duration::from_millis(30_000);
-/// Longest wait for an answer of the store, besides the time that it may hold a
-/// read. Answers take some 5 ms, and some 300 ms while it is slow.
+/// Timeout for an answer of the store, in addition to the time that it may hold a read. Answers
+/// take about 5 ms, and about 300 ms while the store is slow.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause after a read that failed. Chance adds up to as much again: processes that lose
-/// the store together mustn't come back together.
+/// Pause after a failed read. Random jitter of up to the same length is added, so that processes
+/// that lose the store together don't retry together.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// How often a process that isn't a reader doubles it while reads go on failing, up to
-/// 1 s; it hears from the readers when the store is back. 103 processes that all tried
-/// each 0.4 s made 6,000 of 9,500 calls in an outage of 8 s.
+/// Number of times that a process which isn't a reader doubles the pause while reads fail, up to
+/// 1 s. It hears from the readers when the store is back. With 103 processes that all retried
+/// every 0.4 s, retries were 6,000 of 9,500 calls in an outage of 8 s.
 const RETRY_DOUBLINGS: u32 = 2;
 /// Interval at which a process checks whether it has become a feed reader.
 const READER_CHECK_EVERY: Duration = Duration::from_millis(500);
-/// A read that failed counts as a loss of the store after this long without one.
+/// Time without a successful read after which a failed read counts as loss of the store.
 const LOST_AFTER: Duration = Duration::from_millis(1000);
 
-/// Whether the store answers one kind of read.
+/// Availability of the store for one kind of read.
 pub(crate) struct Dependency {
     name: &'static str,
     last_success: Instant,
     last_failure: Instant,
     is_lost: bool,
-    /// Reads that failed in a row.
+    /// Consecutive failed reads.
     failures: u32,
 }
 
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Notes a good read; if the store was lost before it, gives the time of the
-    /// last read that failed.
+    /// Records a successful read. If the store was lost before it, returns the time of the last
+    /// failed read.
     pub(crate) fn record_success(&mut self) -> Option<Instant> {
         self.failures = 0;
         let lost = std::mem::take(&mut self.is_lost);
@@ -78,7 +78,7 @@
         lost.then_some(self.last_failure)
     }
 
-    /// Notes a failed read, and says so when the store is lost by it.
+    /// Records a failed read, and logs the loss of the store if this read establishes it.
     pub(crate) fn record_failure(&mut self, e: &StoreError) {
         self.last_failure = Instant::now();
         self.failures = self.failures.saturating_add(1);
@@ -91,15 +91,14 @@
         }
     }
 
-    /// Waits before the next try.
+    /// Waits before the next attempt.
     pub(crate) async fn pause(&self, gateway: &Gateway) {
         let is_reader = gateway.rank() < FREQUENT_READERS;
         tokio::time::sleep(retry_pause(self.failures, is_reader, fastrand::f64())).await;
     }
 }
 
-/// Pause after so many reads that failed in a row, with a number from 0 to 1 that
-/// chance draws.
+/// Pause after a number of consecutive failed reads; `jitter` is a random number from 0 to 1.
 pub fn retry_pause(failures: u32, is_reader: bool, jitter: f64) -> Duration {
     let doublings = match is_reader {
         true => 0,
@@ -108,7 +107,7 @@
     (RETRY_PAUSE * 2u32.pow(doublings)).mul_f64(1.0 + jitter)
 }
 
-/// The store's client for the settings in use, made anew when they change.
+/// Client of the store for the current settings, replaced when its address changes.
 pub(crate) struct StoreClient {
     gateway: Arc<Gateway>,
     addr: SocketAddr,
@@ -175,9 +174,9 @@
     }
 }
 
-/// How long the store may hold a read from where a reader stands. One of a whole table isn't
-/// held: taken for held, a host that started while the store was silent waited 30.8 s for an
-/// answer that never came, and knew nothing for so long after the store's return.
+/// Time for which the store may hold a read that continues from `from`. Reads of a whole table
+/// aren't held. When they were treated as held, a host that started during an outage of the store
+/// waited 30.8 s for an answer that never came, and had no state for that long after the outage.
 pub(crate) fn hold_time(from: &Feed, longest: Duration) -> Duration {
     match from {
         Feed::Since(_) => longest,
@@ -193,7 +192,7 @@
     }
 }
 
-/// Puts a configuration in force, if it is newer than the one that is.
+/// Applies a configuration if it is newer than the current one.
 pub fn apply_config(gateway: &Gateway, config: Config, source: &str) {
     let over = gateway.config_version();
     let version = config.version;
--- a/crates/gateway/src/follow/registry.rs
+++ b/crates/gateway/src/follow/registry.rs
@@ -1,7 +1,7 @@
 //! Follows the registry of upstreams.
 //!
-//! Its changes are fetched at intervals by two processes. The others hear from them and
-//! fetch it themselves when these fall silent.
+//! Two processes fetch its changes at intervals. The others receive them from these, and fetch
+//! changes themselves only if these stop sending.
 
 use super::{ANSWER_TIMEOUT, Dependency, FREQUENT_READERS, StoreClient, log_malformed};
 use crate::fleet::{Fleet, Merged, UpstreamKey};
@@ -13,26 +13,26 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Age of the registry at which a reader reads it anew: with an answer's time,
-/// well under the 2 s within which a leaving upstream must get no new request.
+/// Age of the registry at which a reader reads it again. Including the time of an answer, it is
+/// well below the 2 s within which a leaving upstream must stop getting new requests.
 const MAX_REGISTRY_AGE: Duration = Duration::from_millis(600);
-/// Age at which the others read it, and what each place adds, so that one of
-/// them reads first and the rest hear of it.
+/// Age at which the other processes read the registry, and the age added per place, so that one
+/// of them reads first and the others receive its result.
 const FALLBACK_REGISTRY_AGE: Duration = Duration::from_millis(1000);
 const FALLBACK_AGE_PER_PLACE: Duration = Duration::from_millis(100);
-/// Places beyond this one add nothing more.
+/// Highest place that adds to the age.
 const MAX_PLACES: u32 = 5;
-/// Processes of each zone that read a long registry from the store when all start.
+/// Processes of each zone that read a long registry from the store at startup.
 const STARTUP_READERS: u32 = 2;
-/// How long the others wait for a peer that tells them, and what each place in the zone
-/// adds: 3,000 upstreams are 250 KB, 0.1 s over a link of 20 Mbit/s, and four processes
-/// ask the same one, three levels deep.
+/// Time that the others wait for the registry from a peer at startup, and the time added per
+/// place in the zone: 3,000 upstreams are 250 KB, which take 0.1 s over a link of 20 Mbit/s, and
+/// four processes query the same peer, three levels deep.
 const STARTUP_WAIT: Duration = Duration::from_millis(1500);
 const STARTUP_WAIT_PER_PLACE: Duration = Duration::from_millis(50);
-/// Pause between two looks whether one has.
+/// Interval between checks whether a peer has sent it.
 const STARTUP_CHECK_EVERY: Duration = Duration::from_millis(20);
 
-/// Why an upstream is out whose entry was removed, in the log.
+/// Logged reason for an upstream whose entry was removed from the registry.
 const NOT_REGISTERED: &str = "not registered";
 
 /// Follows the registry until the process ends.
@@ -40,10 +40,11 @@
     let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/registry");
     let mut from = Feed::Start;
-    // Pages of a table that is being read in full, and when the first was asked for.
+    // Pages of a whole-table read in progress, and the time at which its first page was
+    // requested.
     let mut pages = Vec::new();
     let mut first_page: Option<(Instant, u64)> = None;
-    // Whether peers were given time to tell a long registry at the start.
+    // Whether this process has waited for peers to send a long registry at startup.
     let mut has_waited = false;
     gateway
         .startup_load
@@ -93,8 +94,8 @@
             Err(e) => {
                 dependency.record_failure(&e);
                 dependency.pause(&gateway).await;
-                // Only the page that failed is read again: a table of thousands of
-                // rows would else never be whole while the store turns calls down.
+                // Only the failed page is read again. Otherwise a table of thousands of rows
+                // would never be read completely while the store rejects calls.
                 if !matches!(from, Feed::Since(_)) {
                     continue;
                 }
@@ -108,9 +109,9 @@
     }
 }
 
-/// Gives peers time to tell a long registry that others of the zone read first; says
-/// whether one has. All 300 hosts that read 3,000 upstreams themselves, at 180 bytes
-/// each, took 160 MB from the store.
+/// Waits for peers to send a long registry, which others of the zone read first; returns whether
+/// one has. When all of 300 hosts read 3,000 upstreams themselves, at 180 bytes each, they
+/// transferred 160 MB from the store.
 async fn wait_for_peers(gateway: &Gateway) -> bool {
     let started_at = Instant::now();
     while gateway.registry().version == 0 {
@@ -137,7 +138,7 @@
         };
         let mut left = bound.saturating_sub(gateway.registry_age());
         if let Some(until) = gateway.missing().until() {
-            // What hasn't come back by then must be gone at once.
+            // Upstreams that haven't returned by then must be removed without delay.
             left = left.min(until.saturating_duration_since(Instant::now()));
         }
         if left.is_zero() {
@@ -147,9 +148,9 @@
     }
 }
 
-/// Takes changes of the registry from the store; a whole read also tells by
-/// absence. A read that is older than what a peer has told since is left out: it
-/// would call upstreams back whose removal is never told again.
+/// Applies registry changes from the store. In a whole read, upstreams that are absent are
+/// removed. A read that is older than a peer's later update is skipped: it would bring back
+/// upstreams whose removal isn't sent again.
 pub fn merge_from_store(
     gateway: &Arc<Gateway>,
     changes: Vec<Registration>,
@@ -178,7 +179,7 @@
     }
 }
 
-/// Keeps upstreams that may come back; gives none, as none is gone yet.
+/// Keeps upstreams that may return. Returns an empty list, as none is to be removed yet.
 fn hold_back(missing: &mut Missing, gone: Vec<String>, registry: u64) -> Vec<String> {
     for id in gone {
         emit(&Event::UpstreamMissing {
@@ -190,9 +191,9 @@
     Vec::new()
 }
 
-/// Takes what a peer says of the registry, if it is newer than ours; a whole one also
-/// tells by absence. Peers tell of theirs only while they hold nothing back, so what
-/// is missing there is gone.
+/// Applies registry changes from a peer, if they are newer than this process's own state. In a
+/// whole registry, upstreams that are absent are removed. Peers share their registry only while
+/// no upstream is missing there, so absent ones are really gone.
 pub fn merge_from_peer(
     gateway: &Arc<Gateway>,
     changes: Vec<Registration>,
@@ -213,7 +214,7 @@
     gateway.fleet().see_starts();
 }
 
-/// Takes the upstreams that are present; gives those that are gone.
+/// Applies upstreams that are present and returns the ids of those that are gone.
 fn apply_changes(
     gateway: &Arc<Gateway>,
     changes: Vec<Registration>,
@@ -234,7 +235,8 @@
             }
             Registration::Removed { id } => gone.push(id),
             Registration::Unreadable(row) => {
-                // Its entry is there, so it can't come back as one that lapsed may.
+                // The entry exists, so this upstream can't return like one whose entry has
+                // expired.
                 gateway.missing().found(&row.id);
                 gone.retain(|id| *id != row.id);
                 remove_unreadable(gateway, &row, version);
@@ -244,7 +246,7 @@
     gone
 }
 
-/// Upstreams that are known and don't stand in a whole read of the registry.
+/// Known upstreams that are absent from a whole read of the registry.
 fn absent_ids(gateway: &Gateway, read: &[Registration]) -> Vec<String> {
     let present = read.iter().filter_map(|r| match r {
         Registration::Present(instance) => Some(instance.id.as_str()),
@@ -331,7 +333,7 @@
     });
 }
 
-/// Takes out the upstream of a row that names none, unless a newer row does.
+/// Removes the upstream of a row that can't be decoded, if that row is newer than the known one.
 fn remove_unreadable(gateway: &Gateway, row: &UnreadableRow, registry: u64) {
     let metrics = &gateway.metrics;
     gateway.unreadable().report(row, metrics, Instant::now());
--- a/crates/gateway/src/follow/unreadable.rs
+++ b/crates/gateway/src/follow/unreadable.rs
@@ -1,43 +1,43 @@
-//! Rows that name no upstream, each told once.
+//! Log of registry rows that can't be decoded; each one is logged once.
 
 use observe::{Event, Metrics, emit};
 use platform::UnreadableRow;
 use std::time::{Duration, Instant};
 
-/// Rows that are remembered as told, at 16 bytes each: as many as the largest fleet has
-/// upstreams. Beyond, those with the lowest version yield, and are told again if a whole
-/// read finds them.
+/// Maximum number of rows remembered as logged, at 16 bytes each, equal to the number of
+/// upstreams in the largest fleet. Beyond it, rows with the lowest version are dropped, and are
+/// logged again if a whole read finds them.
 const MAX_ROWS: usize = 4096;
-/// Rows that are told in [`WINDOW`]. Operators need the first ones of a flood; the rest is
-/// counted, and the log has room for requests.
+/// Maximum number of rows logged per [`LINE_WINDOW`]. Operators need the first ones of a flood;
+/// the rest are only counted, which leaves room in the log for requests.
 const MAX_LINES: u32 = 20;
-/// Time over which lines are counted.
+/// Time span to which the limit applies.
 const LINE_WINDOW: Duration = Duration::from_secs(1);
-/// Characters of a key that are logged.
+/// Maximum number of logged characters of a key.
 const MAX_KEY_CHARS: usize = 64;
 
-/// What is to be done with a row that can't be decoded.
+/// What to do with a row that can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogAction {
-    /// Nothing: this version of it was told before.
+    /// Nothing, as this version of the row was handled before.
     Known,
-    /// It is counted; the log has had enough of them for now.
+    /// Count it without logging, as the limit of lines is reached.
     Count,
-    /// It is counted and logged.
+    /// Count and log it.
     CountAndLog,
 }
 
-/// Which rows were told.
+/// Rows that have been logged or counted.
 #[derive(Debug, Default)]
 pub struct UnreadableLog {
-    /// Hashes of keys with the versions that were told, sorted.
+    /// Hashes of keys with the version last handled, sorted.
     rows: Vec<(u64, u64)>,
     window_started_at: Option<Instant>,
     lines: u32,
 }
 
 impl UnreadableLog {
-    /// Counts a row that can't be decoded and logs it, once for each of its versions.
+    /// Counts a row that can't be decoded and logs it, once per version of the row.
     pub fn report(&mut self, row: &UnreadableRow, metrics: &Metrics, now: Instant) {
         let action = self.classify(row, now);
         if action == LogAction::Known {
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Notes a row; says what is to be done with it.
+    /// Records a row and returns what to do with it.
     pub fn classify(&mut self, row: &UnreadableRow, now: Instant) -> LogAction {
         match (self.is_new(row), self.may_log(now)) {
             (false, _) => LogAction::Known,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,9 @@
-//! The gateway: takes clients' requests on the users' platform and passes each
-//! to an upstream, straight and byte for byte.
+//! The gateway: accepts client requests on the users' platform and forwards each one unchanged to
+//! an upstream.
 //!
-//! One pipeline: receive, route, choose, attempt, relay, account. What the
-//! process believes comes from the store (configuration and registry) and from
-//! its own requests; it keeps nothing, and goes on without the store with what
-//! it knows.
+//! Requests pass through one pipeline: receive, route, choose, attempt, relay, account. A process
+//! learns its state from the store (configuration and registry) and from its own requests. It
+//! persists nothing, and continues with its last known state while the store is unavailable.
 
 pub mod account;
 pub mod answer;
@@ -39,21 +38,21 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at whether requests still run.
+/// Interval between checks whether requests are still running.
 const IDLE_CHECK_EVERY: Duration = Duration::from_millis(50);
 
 quick_error! {
-    /// Why a gateway can't start.
+    /// Errors that prevent a gateway from starting.
     #[derive(Debug)]
     pub enum StartError {
-        /// An address can't be bound; another process may hold it.
+        /// An address can't be bound, for example because another process uses it.
         Bind(addr: SocketAddr, e: std::io::Error) { display("can't bind {addr}: {e}") }
-        /// The settings name no address for clients.
-        NoAddress(what: &'static str) { display("the settings name no address for {what}") }
+        /// The settings contain no address for a listener.
+        NoAddress(what: &'static str) { display("no address for {what} in the settings") }
     }
 }
 
-/// Runs a gateway until it is told to stop and its last request has ended.
+/// Runs a gateway until it receives the stop signal and its last request has ended.
 pub async fn run(path: PathBuf, host: Host, stop: Stop) -> Result<(), StartError> {
     let callers = host.callers.ok_or(StartError::NoAddress("callers"))?;
     let ready = host.ready.ok_or(StartError::NoAddress("readiness"))?;
@@ -103,10 +102,10 @@
     {
         emit(&Event::DependencyLost {
             dependency: "store/processes",
-            why: "no answer before the process's end".into(),
+            why: "no answer before the process exits".into(),
         });
     }
-    // Past the time the count below tells what is left.
+    // On timeout, the number of unfinished requests is logged below.
     let _ = tokio::time::timeout_at(schedule.exit_at.into(), server).await;
     exchange.stop();
     emit(&Event::Stopped {
@@ -115,9 +114,9 @@
     Ok(())
 }
 
-/// Waits until no request runs, at most until a time. New connections are still
-/// taken: the balancer sends them here only while no other host is ready, as when
-/// all are stopped in turn.
+/// Waits until no request is running, at most until `until`. New connections are still accepted:
+/// the balancer sends them to a stopping host only while no other host is ready, for example when
+/// all hosts are stopped in turn.
 async fn wait_until_idle(gateway: &Gateway, until: Instant) {
     while gateway.running() > 0 && Instant::now() < until {
         tokio::time::sleep(IDLE_CHECK_EVERY).await;
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! Endpoints for the balancer's readiness check and for metrics.
 
 use crate::StartError;
 use crate::state::Gateway;
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Path that the balancer asks.
+/// Path of the readiness check.
 const READY_PATH: &str = "/readyz";
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Largest head.
+/// Maximum size of a request head.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Longest that a connection may be idle.
+/// Maximum idle time of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves readiness and metrics until the process ends.
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Takes new settings: after SIGHUP, and when the file changes without one.
+//! Reloads the settings on SIGHUP, and when the file changes.
 
 use crate::state::Gateway;
 use observe::{Event, emit};
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Time between looks at the file. Changes come a few times a day and take
-/// effect within seconds; a look is one small read.
+/// Interval between checks of the file. Changes occur a few times a day and should take effect
+/// within seconds; a check is one small read.
 const CHECK_EVERY: Duration = Duration::from_secs(2);
 
-/// Follows the settings file until the process ends.
+/// Watches the settings file until the process ends.
 pub async fn follow_settings(gateway: Arc<Gateway>, path: PathBuf) {
     let mut hangup = signal(SignalKind::hangup()).expect("a handler for a plain signal can be set");
     loop {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Reads the file; new settings are used, ones that are wrong are not.
+/// Reads the file and applies new settings; invalid ones are ignored and logged.
 fn reload(gateway: &Gateway, path: &Path, is_signalled: bool) {
     let why = if is_signalled {
         "signal"
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! The way of a request: receive, route, choose, attempt, relay, account.
+//! Request handling: receive, route, choose, attempt, relay, account.
 
 mod caller;
 mod refusal;
@@ -28,35 +28,34 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How much longer than the latency target a first byte may take before another
-/// upstream is tried. Admitted prompts are estimated at 0.6 of it; on two loaded
-/// days 1 and 5 in 1,000 first bytes took longer than twice the target, at an
-/// upstream that is cut off all do.
+/// Timeout for the first byte, as a multiple of the latency target, after which another upstream
+/// is tried. Prompts are admitted with estimates of up to 0.6 of the target. On two loaded days 1
+/// and 5 of 1,000 first bytes took longer than twice the target; at an unreachable upstream all
+/// do.
 const FIRST_BYTE_TIMEOUT_FACTOR: f64 = 2.0;
-/// The same at least, where targets are short: a lost packet comes again after
-/// 0.2 s.
+/// Minimum first-byte timeout, for short targets: a lost packet is retransmitted after 0.2 s.
 const MIN_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(240);
-/// Upstreams that are tried without anything being sent to them, for one request.
+/// Maximum number of upstreams tried for one request without anything being sent to them.
 const MAX_UNSENT_UPSTREAMS: usize = 4;
 
-/// A request, read in full and routed.
+/// A request that has been read in full and routed.
 #[derive(Debug)]
 pub struct Call {
-    /// The process.
+    /// State of the process.
     pub gateway: Arc<Gateway>,
-    /// When it came.
+    /// Time at which the request arrived.
     pub since: Instant,
-    /// What its headers say.
+    /// Parsed headers.
     pub incoming: Incoming,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub path: Uri,
-    /// Headers, as they came.
+    /// Headers, unchanged.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Event after which the stream goes on.
+    /// Id of the event after which the stream is to be resumed.
     pub last_event: Option<u64>,
     /// Whether the service's upstreams are model engines.
     pub is_engine: bool,
@@ -64,12 +63,12 @@
     caller: Caller,
     service: ServiceKey,
     tried: Vec<UpstreamKey>,
-    /// What an upstream said that failed, while another is tried.
+    /// Failure response of an upstream, kept while another upstream is tried.
     failure: Option<Box<attempt::Started>>,
     fingerprint: OnceLock<Fingerprint>,
 }
 
-/// Answers a client.
+/// Handles a request and returns the response to the client.
 pub async fn serve(gateway: Arc<Gateway>, req: Request<IncomingBody>) -> Response<Body> {
     let since = Instant::now();
     let (mut head, body) = req.into_parts();
@@ -167,7 +166,7 @@
         })
 }
 
-/// The path and query alone, as they go to an upstream.
+/// Path and query without scheme and authority, as sent to upstreams.
 fn path_and_query(uri: &Uri) -> Uri {
     match uri.path_and_query() {
         Some(path) => Uri::from(path.clone()),
@@ -176,16 +175,16 @@
 }
 
 impl Call {
-    /// Its route.
+    /// Route of the request.
     pub fn target(&self) -> &Target {
-        // NB: the table doesn't change, so the route that was found is found again.
+        // NB: the table doesn't change, so the lookup succeeds again.
         self.table
             .find(&self.incoming.host, self.path.path())
             .expect("the route was found when the request came")
     }
 
-    /// What it asks for and who asks, hashed when it is first needed: only requests under
-    /// which an upstream ended, and those that come while such are known, pay for it.
+    /// Hash of the request's content and sender. It is computed lazily: only requests during
+    /// which an upstream crashed, and requests that arrive while such crashes are known, need it.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| fingerprint(self))
     }
@@ -205,8 +204,8 @@
         }
     }
 
-    /// Finds an upstream whose answer begins, or the reason why there is none. An upstream's
-    /// own failure is passed on if nothing better comes.
+    /// Tries upstreams until one starts to answer, or returns the reason for a refusal. An
+    /// upstream's own failure response is returned if no other upstream does better.
     async fn run(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
         let timeout = self.wait_for_timeout(AnswerProgress::Pending);
         let outcome = tokio::select! {
@@ -225,7 +224,7 @@
 
     async fn run_attempts(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
         let mut last = Refusal::from(Reason::NoUpstream);
-        // Whether the next attempt has been taken off the budget.
+        // Whether the next attempt has already been taken from the retry budget.
         let mut is_retry_spent = false;
         loop {
             let admission = match crashes::admit(self, account).await {
@@ -267,7 +266,7 @@
                     }
                     is_retry_spent = true;
                     last = Reason::UpstreamLost.into();
-                    // One that still comes holds its connection.
+                    // A response that is still incomplete would hold its connection.
                     self.failure = Some(started).filter(|s| s.rest.is_none());
                 }
                 Tried::NotRun(NotRun::NotSent | NotRun::NoPrefill) => {
@@ -288,9 +287,9 @@
         }
     }
 
-    /// Makes an attempt. One whose first byte takes far longer than estimated is
-    /// given up for another, where the request may run twice and the budget has
-    /// a retry, which is taken off.
+    /// Makes an attempt. If its first byte takes far longer than estimated, the attempt is
+    /// abandoned for another one, provided that the request may run twice and the retry budget
+    /// allows it. The retry is then taken from the budget.
     async fn attempt_with_timeout(
         &self,
         account: &mut Account,
@@ -313,11 +312,11 @@
             tokio::pin!(tried);
             match tokio::time::timeout(first_byte_timeout, tried.as_mut()).await {
                 Ok(tried) => return tried,
-                // Another one's answer must still come before this process ends.
+                // Another attempt must still be answered before this process exits.
                 Err(_) if !may_switch() || !self.can_finish() || !self.spend_retry() => {
                     return tried.await;
                 }
-                // What is dropped here is cancelled at the upstream.
+                // Dropping the attempt cancels it at the upstream.
                 Err(_) => {}
             }
         }
@@ -330,7 +329,7 @@
         Tried::Unknown(why.to_owned())
     }
 
-    /// Whether another upstream may be sent the request; takes it off the budget.
+    /// Whether the request may be sent to another upstream; if so, takes a retry from the budget.
     pub fn acquire_retry(&self, account: &Account) -> bool {
         account.attempts < self.target().route.max_attempts
             && self.can_finish()
@@ -341,9 +340,9 @@
         self.gateway.spend_retry(self.service)
     }
 
-    /// Sends a broken stream's rest to another upstream; none if it may not.
+    /// Requests the rest of a broken stream from another upstream; `None` if that isn't allowed.
     pub async fn resume_stream(&mut self, account: &mut Account) -> Option<Tried> {
-        // The one that broke off has most likely crashed.
+        // The upstream that broke off has probably crashed.
         self.tried.extend(account.tried.map(|sent| sent.key));
         let admission = crashes::admit(self, account).await;
         if matches!(admission, Admission::Held(_)) || !self.acquire_retry(account) {
@@ -356,7 +355,7 @@
         let Choice::Send(plan) = choose(&self.gateway, &need) else {
             return None;
         };
-        // The client may go on elsewhere at once, in place of being cut off again.
+        // The client can resume at another host at once, instead of being cut off again.
         if !self.finishes_in_time(account, plan.inputs.estimate_ms) {
             return None;
         }
--- a/crates/gateway/src/serve/caller.rs
+++ b/crates/gateway/src/serve/caller.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, when it comes and before each send.
+//! Tenant of a request: authentication, quota and checks before each attempt.
 
 use super::{Call, Refusal};
 use crate::account::Account;
@@ -15,8 +15,9 @@
 /// Minimum time after which a client may retry a request over its tenant's quota.
 const MIN_QUOTA_RETRY: Duration = Duration::from_millis(200);
 
-/// Whose a request is, before anything is read of its body. A key that this process doesn't
-/// know may stand in a configuration that is on its way: 401 would be final.
+/// Identifies the tenant of a request, before its body is read. An unknown key may be part of a
+/// newer configuration that hasn't arrived yet, in which case the client is asked to retry
+/// instead of receiving a final 401.
 pub(super) fn authenticate(
     gateway: &Gateway,
     table: &RouteTable,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Notes whose a request's key was and which version took it away, if that is known.
+/// Records the former tenant of a removed key and the version that removed it, if known.
 fn record_removed_key(table: &RouteTable, incoming: &Incoming, account: &mut Account) {
     let removed = table
         .tenants()
@@ -87,7 +88,7 @@
 }
 
 impl Call {
-    /// Whose request it is, as its upstream is told.
+    /// Tenant of the request, as sent to the upstream.
     pub fn tenancy(&self) -> Tenancy<'_> {
         match self.caller {
             Caller::Any => Tenancy::Unused,
@@ -95,21 +96,22 @@
         }
     }
 
-    /// Rank of the request, 0 for the most urgent: its tenant's, or else its route's.
+    /// Priority of the request, 0 for the most urgent: its tenant's, or else its route's.
     pub fn priority(&self) -> u32 {
         let tenant = self.table.tenant(self.caller);
         let own = tenant.and_then(|t| t.priority);
         own.unwrap_or(self.target().route.priority)
     }
 
-    /// Name of its tenant, if it has one.
+    /// Name of the tenant, if the request has one.
     pub fn tenant_name(&self) -> Option<&str> {
         let tenant = self.table.tenant(self.caller)?;
         Some(&tenant.name)
     }
 
-    /// Whether the configuration in force still lets it go to an upstream: its key may have
-    /// been taken away while it waited, or since it was sent before.
+    /// Checks that the current configuration still allows the request to be sent to an upstream,
+    /// as its key may have been removed while it waited or since an earlier attempt. On failure,
+    /// the account is updated.
     pub fn check_key(&self, account: &mut Account) -> Result<(), Reason> {
         let reason = match self.validate_key() {
             Ok(()) => return Ok(()),
@@ -122,7 +124,7 @@
         Err(reason)
     }
 
-    /// The same, without a word in the account.
+    /// Like [`Self::check_key`], without updating the account.
     pub(super) fn validate_key(&self) -> Result<(), Reason> {
         if self.gateway.config_version() == self.table.version {
             return Ok(());
@@ -136,7 +138,7 @@
         let caller = newest
             .admit(target, self.incoming.key)
             .map_err(Reason::NoTenant)?;
-        // What upstreams are told is made by the table that the request came under.
+        // The tenant sent to upstreams is taken from the table that the request arrived under.
         let is_same = match (self.caller, caller) {
             (_, Caller::Any) => true,
             (Caller::Any, _) => false,
--- a/crates/gateway/src/serve/refusal.rs
+++ b/crates/gateway/src/serve/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own, and when clients may come back after them.
+//! Refusals by the gateway itself, and when clients may retry.
 
 use crate::account::Account;
 use crate::answer::{self, Reason};
@@ -9,16 +9,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// When a client may come back while this process knows no configuration.
+/// Time after which a client may retry while this process has no configuration.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// The same while no upstream is usable, or those that were tried rejected it.
+/// Time after which a client may retry if no upstream is usable, or all that were tried rejected
+/// the request.
 const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// The same while no grantor of a quota can be reached.
+/// Time after which a client may retry if no grantor of its quota can be reached.
 const NO_QUOTA_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// The same while it is tried whether upstreams end by the request: a trial takes as long
-/// as an answer does.
+/// Time after which a client may retry while a trial determines whether its request crashes
+/// upstreams. A trial takes as long as an answer.
 const SUSPECT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Why a request gets an answer of the system's own.
+/// A response by the gateway itself instead of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Refusal {
     reason: Reason,
@@ -26,7 +27,7 @@
 }
 
 impl Refusal {
-    /// A refusal after which the client may come back in a time.
+    /// A refusal after which the client may retry in `retry_after`.
     pub(super) fn with_retry_after(reason: Reason, retry_after: Duration) -> Self {
         Self {
             reason,
--- a/crates/gateway/src/serve/time.rs
+++ b/crates/gateway/src/serve/time.rs
@@ -1,4 +1,4 @@
-//! How much time a request has: its own, and that of a process that is stopping.
+//! Time limits of a request: its own, and those of a stopping process.
 
 use super::Call;
 use crate::account::Account;
@@ -9,33 +9,34 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How far a request's answer has come.
+/// Progress of a request's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerProgress {
-    /// Nothing of it is there.
+    /// Nothing has been sent to the client.
     Pending,
-    /// The client has got some of it.
+    /// Part of the answer has been sent to the client.
     Started,
 }
 
-/// Whether an answer will have ended before its process does.
+/// Estimate of whether an answer will end before its process exits.
 #[derive(Debug, Clone, Copy)]
 pub struct FinishEstimate {
-    /// How long it takes at the most from now on.
+    /// Maximum remaining duration of the answer.
     pub takes: Duration,
-    /// How much time the process has for it.
+    /// Time that the process has left for it.
     pub process_left: Duration,
 }
 
 impl FinishEstimate {
-    /// Whether it will have ended.
+    /// Whether the answer is expected to end before the process exits.
     pub fn is_in_time(&self) -> bool {
         self.takes <= self.process_left
     }
 }
 
-/// Waits until the time of a request is over that has so much of its own left, and says why
-/// it is. An answer that has begun may go on until the last moment of the process.
+/// Waits until a request has no time left and returns the reason. `own_time_left` is the time
+/// until its own timeout. An answer that has started may continue until shortly before the
+/// process exits.
 pub(super) async fn wait_for_timeout(
     gateway: Arc<Gateway>,
     own_time_left: Duration,
@@ -56,13 +57,13 @@
 }
 
 impl Call {
-    /// Time that is left of it, by the client's deadline and the route's timeout.
+    /// Time left by the client's deadline and the route's timeout.
     fn own_time_left(&self) -> Duration {
         let elapsed = self.since.elapsed();
         self.target().left(self.incoming.deadline, elapsed)
     }
 
-    /// Time that an upstream has for it: its own, and that of a process that is stopping.
+    /// Time left for an upstream: the request's own, limited by the process's shutdown.
     pub fn time_left(&self) -> Duration {
         let time_left = self.own_time_left();
         let schedule = self.gateway.shutdown_schedule();
@@ -70,7 +71,7 @@
         process.map_or(time_left, |process| time_left.min(process))
     }
 
-    /// Waits until its time is over, and says why it is; see [`time_over`].
+    /// Waits until the request has no time left and returns the reason; see [`wait_for_timeout`].
     pub fn wait_for_timeout(
         &self,
         progress: AnswerProgress,
@@ -78,8 +79,8 @@
         wait_for_timeout(self.gateway.clone(), self.own_time_left(), progress)
     }
 
-    /// Whether its answer, with a first byte after an estimated time, will have ended before
-    /// this process does; none if that isn't stopping.
+    /// Estimates whether an answer with a first byte after `estimate_ms` will end before this
+    /// process exits; `None` if the process isn't stopping.
     fn finish_estimate(&self, estimate_ms: f64) -> Option<FinishEstimate> {
         let schedule = self.gateway.shutdown_schedule()?;
         let now = Instant::now();
@@ -88,7 +89,7 @@
             let durations = fleet.info(self.service).durations();
             durations.longest(self.length(), now)
         };
-        // Where its own time is over before, the process doesn't bind it.
+        // A request whose own timeout is earlier isn't limited by the process.
         let estimate = match self.is_engine {
             true => duration_from_ms(estimate_ms),
             false => Duration::ZERO,
@@ -101,21 +102,21 @@
         })
     }
 
-    /// Whether an answer that begins now could end before this process does.
+    /// Whether an answer that starts now could end before this process exits.
     pub fn can_finish(&self) -> bool {
         self.finish_estimate(0.0).is_none_or(|o| o.is_in_time())
     }
 
-    /// Whether its answer, with a first byte after an estimated time, will have ended before
-    /// this process does. Nothing is begun that won't: a client that is refused at once comes
-    /// back elsewhere. Where all hosts were stopped in turn without other trouble, four
-    /// answers were cut off each half minute before this was asked.
+    /// Whether an answer with a first byte after `estimate_ms` will end before this process
+    /// exits; records the estimate in the account. Requests that won't end in time aren't
+    /// started: a client that is refused at once can retry at another host. Without this check,
+    /// stopping all hosts in turn cut off four answers per half minute.
     pub fn finishes_in_time(&self, account: &mut Account, estimate_ms: f64) -> bool {
         account.outlook = self.finish_estimate(estimate_ms);
         account.outlook.is_none_or(|o| o.is_in_time())
     }
 
-    /// What is known of its answer's length.
+    /// What is known about the length of the answer.
     fn length(&self) -> Length {
         match self.is_engine {
             true => Length::Tokens {
@@ -128,9 +129,9 @@
         }
     }
 
-    /// Learns from a whole answer how long such answers take, further attempts included.
-    /// Rests that a client asks for and failures come sooner, and tell nothing. Time in which
-    /// it waited for its client doesn't count.
+    /// Records the duration of a complete answer, including further attempts, for later
+    /// estimates. Resumed streams and failures are skipped, as they are shorter. The time spent
+    /// waiting for the client is excluded.
     pub fn record_duration(&self, account: &Account, waited_for_client: Duration) {
         let is_rest = self.incoming.last_event.is_some();
         if is_rest || !(200..300).contains(&account.status) {
@@ -144,7 +145,7 @@
         durations.note(self.length(), took, Instant::now());
     }
 
-    /// Counts its answer as being streamed until the guard is dropped.
+    /// Counts the answer as being streamed until the guard is dropped.
     pub fn track_stream(&self) -> StreamGuard {
         let (length, since) = (self.length(), self.since);
         let mut fleet = self.gateway.fleet();
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway is and knows.
+//! State of a gateway process, shared by all requests and background tasks.
 
 mod guards;
 
@@ -25,19 +25,20 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Tenants with histograms of their own: each takes some 2 KB of memory and of a scrape.
+/// Maximum number of tenants with their own histograms. Each takes about 2 KB of memory and of
+/// each scrape.
 const MAX_TENANT_METRICS: u32 = 100;
 
-/// Limits on clients' heads until a configuration is read: the users' own.
+/// Limits on request heads until a configuration is loaded, equal to the users' own defaults.
 const INITIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const INITIAL_MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// A gateway.
+/// State of a gateway process.
 #[derive(Debug)]
 pub struct Gateway {
     host: Mutex<Arc<Host>>,
     routes: Mutex<Option<Arc<RouteTable>>>,
-    /// Since when these routes are in force.
+    /// Time at which the current routes were applied.
     config_applied_at: Mutex<Option<Instant>>,
     fleet: Mutex<Fleet>,
     budgets: Mutex<Vec<(ServiceKey, Budget)>>,
@@ -54,47 +55,48 @@
     /// supplied it.
     pub registry_fallback: Notify,
     running: AtomicU64,
-    /// Work under which upstreams end.
+    /// Requests during which upstreams crashed.
     pub crashes: Shared,
-    /// Requests of tenants that began to run.
+    /// Requests of tenants that started to run, for usage reports.
     pub usage: Usage,
     /// Quotas of tenants.
     pub quotas: Quotas,
-    /// Given when a peer knows something newer than this process.
+    /// Notified when a peer has newer state than this process.
     pub catch_up: Notify,
-    /// Limits on clients' heads, by the configuration in force.
+    /// Limits on request heads, set by the current configuration.
     pub head_limits: HeadLimits,
     /// Metrics.
     pub metrics: Metrics,
-    /// Bytes between this process and upstreams.
+    /// Bytes exchanged with upstreams.
     pub upstream_bytes: Meter,
-    /// Bytes between this process and its peers.
+    /// Bytes exchanged with peers.
     pub peer_bytes: Meter,
-    /// Bytes between this process and the store.
+    /// Bytes exchanged with the store.
     pub store_bytes: Meter,
-    /// Counts of the calls to the store.
+    /// Counts of calls to the store.
     pub store_calls: CallCounts,
-    /// Given when the process should end.
+    /// Set when the process should stop.
     pub stop: Stop,
     stalls: Mutex<StallDetector>,
     shutdown_schedule: OnceLock<ShutdownSchedule>,
 }
 
-/// How fresh this process's view of the upstreams is.
+/// Version and age of this process's view of the upstreams.
 #[derive(Debug, Clone, Copy)]
 pub struct RegistryState {
-    /// The store's version of the last read; 0 before the first.
+    /// The store's version at the last read, 0 before the first.
     pub version: u64,
-    /// When that was, by this process or by a peer that knows the same.
+    /// Time of that read, by this process or by a peer with an identical view.
     pub read_at: Instant,
-    /// The same by the store's clock, in milliseconds: which of two reads is later.
+    /// The same time by the store's clock, in milliseconds. It determines which of two reads is
+    /// later.
     pub store_ms: u64,
-    /// Hash of what it told; see [`Fleet::view`].
+    /// Hash of the registry's content; see [`Fleet::view`].
     pub view: u64,
 }
 
 impl Gateway {
-    /// A gateway that has yet to read its configuration.
+    /// Creates a gateway that has no configuration yet.
     pub fn new(host: Host, stop: Stop) -> Arc<Self> {
         Arc::new(Self {
             quotas: Quotas::new(host.ip),
@@ -133,33 +135,33 @@
         })
     }
 
-    /// The settings in use.
+    /// The current settings.
     pub fn host(&self) -> Arc<Host> {
         lock(&self.host).clone()
     }
 
-    /// Takes new settings.
+    /// Replaces the settings.
     pub fn set_host(&self, host: Host) {
         *lock(&self.host) = Arc::new(host);
     }
 
-    /// The configuration in force, if there is one.
+    /// The current configuration, if there is one.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         lock(&self.routes).clone()
     }
 
-    /// Version of the configuration in force; 0 if there is none.
+    /// Version of the current configuration, 0 if there is none.
     pub fn config_version(&self) -> u64 {
         lock(&self.routes).as_ref().map_or(0, |t| t.version)
     }
 
-    /// How long the configuration has been in force.
+    /// Time since the current configuration was applied.
     pub fn config_age(&self) -> Duration {
         let since = *lock(&self.config_applied_at);
         since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
-    /// Whether a peer has a newer configuration in force.
+    /// Whether a peer has a newer configuration.
     pub fn is_config_behind(&self) -> bool {
         let known = self.config_version();
         let peers = self.peers();
@@ -170,28 +172,28 @@
         newest.is_some_and(|newest| newest > known)
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn set_routes(&self, table: RouteTable) {
-        // One timer covers a connection's idle time and a head's own, so the longer
-        // bound holds: a connection mustn't be closed that a client counts on.
+        // One timer covers both a connection's idle time and the time to send a head. The longer
+        // limit is used, so that no connection is closed that a client expects to reuse.
         self.head_limits
             .set(table.limits.idle_timeout, table.limits.head_bytes);
         *lock(&self.routes) = Some(Arc::new(table));
         *lock(&self.config_applied_at) = Some(Instant::now());
     }
 
-    /// The upstreams. Never held across an await.
+    /// The upstreams. The lock must not be held across an await.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
 
-    /// How fresh the view of the upstreams is.
+    /// Version and age of the view of the upstreams.
     pub fn registry(&self) -> RegistryState {
         *lock(&self.registry)
     }
 
-    /// Notes a version of the registry that was read. It never goes back, since a peer's
-    /// later read may have been taken while ours was on its way.
+    /// Records the version of a registry read. The version never decreases, as a peer's later
+    /// read may arrive while this process's read is in progress.
     pub fn set_registry(&self, version: u64) {
         let view = self.fleet().view();
         let mut registry = lock(&self.registry);
@@ -202,8 +204,9 @@
         registry.view = view;
     }
 
-    /// Notes when a read of the version in use was asked for: what came before it is known.
-    /// An answer may wait for a process that stands still, so its arrival says nothing.
+    /// Records the time at which a read of the current version was requested; all earlier changes
+    /// are known. The time at which the answer arrived isn't used, as the answer may have waited
+    /// while this process was paused.
     pub fn record_read(&self, version: u64, asked_at: Instant, store_ms: u64) {
         let mut registry = lock(&self.registry);
         if version == registry.version && store_ms >= registry.store_ms {
@@ -212,19 +215,21 @@
         }
     }
 
-    /// Upstreams that are missing and may come back. Never held across an await.
+    /// Upstreams that are missing from the registry and may return. The lock must not be held
+    /// across an await.
     pub fn missing(&self) -> MutexGuard<'_, Missing> {
         lock(&self.missing)
     }
 
-    /// The latest changes of the registry. Never held across an await; locked after
-    /// the fleet where both are needed.
+    /// Recent changes of the registry. The lock must not be held across an await, and is taken
+    /// after the fleet's lock where both are needed.
     pub fn history(&self) -> MutexGuard<'_, History> {
         lock(&self.history)
     }
 
-    /// What has changed in the registry since a version, or all of it if that isn't
-    /// known; none if peers may not take this process's word for it.
+    /// Registry changes since a version, or the whole registry if that version is no longer in
+    /// the history; `None` if the registry can't be shared with peers (see
+    /// [`Self::shareable_registry`]).
     pub fn changes_since(&self, version: u64) -> Option<RegistryChanges> {
         let shareable = self.shareable_registry().filter(|r| r.version > 0)?;
         let fleet = self.fleet();
@@ -253,33 +258,34 @@
         Some(changes)
     }
 
-    /// Rows of the registry that can't be decoded and were told.
+    /// Registry rows that can't be decoded and have been logged.
     pub fn unreadable(&self) -> MutexGuard<'_, follow::unreadable::UnreadableLog> {
         lock(&self.unreadable)
     }
 
-    /// What peers may take this process's word for: none while it uses upstreams
-    /// that its last read didn't find.
+    /// The registry state that may be sent to peers; `None` while this process still uses
+    /// upstreams that its last read didn't find.
     pub fn shareable_registry(&self) -> Option<RegistryState> {
         self.missing().is_empty().then(|| self.registry())
     }
 
-    /// Notes a peer's read of the registry, if it is later and found the same.
-    /// What this process holds back must be found or gone by its own reads.
+    /// Adopts the time of a peer's registry read if it is later and found identical content. Does
+    /// nothing while upstreams are missing: those must be found or removed by this process's own
+    /// reads.
     pub fn confirm_registry(&self, read: RegistryState) {
         if !self.missing().is_empty() {
             return;
         }
         let mut registry = lock(&self.registry);
-        // By the store's clock: by those of processes the same read, told in a circle, would
-        // be the later the longer it was on its way.
+        // Compares by the store's clock. By the processes' clocks, the same read would appear
+        // later the longer it was on its way, as processes pass it on in circles.
         let is_later = read.version >= registry.version && read.store_ms > registry.store_ms;
         if read.view == registry.view && is_later {
             *registry = read;
         }
     }
 
-    /// The host of this process and its zone.
+    /// The host and zone of this process.
     pub fn location(&self) -> Location {
         let host = self.host();
         Location {
@@ -288,13 +294,13 @@
         }
     }
 
-    /// The place of this process among all that are alive.
+    /// Place of this process among all live processes.
     pub fn rank(&self) -> u32 {
         self.peers().rank(self.location(), Instant::now())
     }
 
-    /// The place of this process in its zone among those that read a long registry
-    /// first; none until the store has told of the peers.
+    /// Place of this process in its zone, in the order in which processes read a long registry at
+    /// startup; `None` until the store has returned the list of peers.
     pub fn startup_read_place(&self) -> Option<u32> {
         let peers = self.peers();
         peers
@@ -307,32 +313,31 @@
         self.registry().read_at.elapsed()
     }
 
-    /// The other processes of the system. Never held across an await; locked
-    /// before the fleet where both are needed.
+    /// The other processes of the system. The lock must not be held across an await, and is taken
+    /// before the fleet's lock where both are needed.
     pub fn peers(&self) -> MutexGuard<'_, Peers> {
         lock(&self.peers)
     }
 
-    /// The store's version up to which the processes of the system are known; 0 if they aren't
-    /// all known.
+    /// The store's version up to which the list of processes is complete, 0 if it isn't complete.
     pub fn members_version(&self) -> u64 {
         self.members_version.load(Ordering::Relaxed)
     }
 
-    /// Raises the version up to which the processes are known; a lower one is ignored.
+    /// Raises the version up to which the list of processes is complete; a lower one is ignored.
     pub fn set_members_version(&self, version: u64) {
         self.members_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Whether this process holds reads of whole tables at the store: it is one of the feed
-    /// readers, or hears no peer.
+    /// Whether this process keeps long-poll reads of whole tables open at the store: it is one of
+    /// the feed readers, or has no live peer.
     pub fn is_feed_reader(&self) -> bool {
         let own = self.host().ip;
         let peers = self.peers();
         peers.is_feed_reader(own) || peers.is_alone(Instant::now())
     }
 
-    /// Takes a new number of peers that share the retry budget.
+    /// Updates the number of peers that share the retry budget.
     pub fn set_live_peers(&self, peers: u32) {
         if self.live_peers.swap(peers, Ordering::Relaxed) == peers {
             return;
@@ -343,12 +348,12 @@
         }
     }
 
-    /// Processes that share the retry budget.
+    /// Number of processes that share the retry budget.
     fn process_count(&self) -> u32 {
         self.live_peers.load(Ordering::Relaxed) + 1
     }
 
-    /// Works on the retry budget of a service.
+    /// Calls `work` with the retry budget of a service.
     fn with_budget<T>(&self, service: ServiceKey, work: impl FnOnce(&mut Budget) -> T) -> T {
         let mut budgets = lock(&self.budgets);
         let at = budgets.binary_search_by_key(&service, |(s, _)| *s);
@@ -362,31 +367,31 @@
         work(&mut budgets[at].1)
     }
 
-    /// Notes a request for a service.
+    /// Adds a request to the retry budget of a service.
     pub fn earn_retry(&self, service: ServiceKey) {
         self.with_budget(service, |b| b.earn(Instant::now()));
     }
 
-    /// Takes a retry at a service, if there is one.
+    /// Takes one retry from the budget of a service; returns false if none is left.
     pub fn spend_retry(&self, service: ServiceKey) -> bool {
         self.with_budget(service, |b| b.spend(Instant::now()))
     }
 
-    /// Whether it takes new connections.
+    /// Whether this process accepts new connections.
     pub fn is_ready(&self) -> bool {
         let knows_upstreams = self.registry().version > 0;
         !self.stop.is_stopped() && knows_upstreams && lock(&self.routes).is_some()
     }
 
-    /// The moments of this process's end, once it was told to stop. They are set by who
-    /// asks first after the signal, and stay whatever signal or reload follows.
+    /// The shutdown schedule, once the stop signal has arrived. It is computed on the first call
+    /// after the signal, and isn't changed by further signals or reloads.
     pub fn shutdown_schedule(&self) -> Option<ShutdownSchedule> {
         self.stop
             .is_stopped()
             .then(|| self.init_shutdown_schedule())
     }
 
-    /// Waits for the stop signal; gives the moments of the end.
+    /// Waits for the stop signal and returns the shutdown schedule.
     pub async fn wait_for_stop(&self) -> ShutdownSchedule {
         self.stop.stopped().await;
         self.init_shutdown_schedule()
@@ -401,12 +406,12 @@
         *self.shutdown_schedule.get_or_init(compute)
     }
 
-    /// Notes that this process runs, so that it knows when it stood still.
+    /// Records that this process is running, to detect pauses.
     pub fn tick(&self) {
         lock(&self.stalls).tick(Instant::now());
     }
 
-    /// Whether a datagram that is taken now may have waited while this process stood still.
+    /// Whether a datagram received now may have waited while this process was paused.
     pub fn may_have_waited(&self, now: Instant) -> bool {
         lock(&self.stalls).may_have_waited(now)
     }
@@ -417,17 +422,17 @@
         RunningGuard::new(self.clone())
     }
 
-    /// Counts a request as no longer running.
+    /// Removes a request from the running count.
     fn end_request(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> u64 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Counts a request at an upstream until the guard is dropped.
+    /// Adds a request to the load of an upstream until the guard is dropped.
     pub fn add_load(self: &Arc<Self>, key: UpstreamKey, tokens: u32, is_long: bool) -> LoadGuard {
         if let Some(upstream) = self.fleet().get_mut(key) {
             upstream.running += 1;
--- a/crates/gateway/src/state/guards.rs
+++ b/crates/gateway/src/state/guards.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A request's load at an upstream, taken off when it is dropped.
+/// Counts a request in the load of an upstream until it is dropped.
 #[derive(Debug)]
 pub struct LoadGuard {
     gateway: Arc<Gateway>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The first byte has come: the prompt has been read.
+    /// Records that the first byte has arrived, which means that the prompt has been processed.
     pub fn first_byte_received(&mut self) {
         if !std::mem::take(&mut self.is_waiting) {
             return;
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,71 +1,74 @@
-//! The end of a process, from the stop signal on.
+//! Shutdown schedule of a process, starting at the stop signal.
 //!
-//! Other hosts should take over, but when all are stopped in turn clients still come here,
-//! as no host is ready. So a stopping process goes on taking requests as long as it can end
-//! them, and refuses those that it can't at once: a client that is refused comes back
-//! elsewhere, one whose answer is cut off has lost it.
+//! Other hosts normally take over, but when all hosts are stopped in turn, no host is ready and
+//! clients still connect to this one. A stopping process therefore accepts requests as long as it
+//! can complete them, and refuses others at once: a refused client can retry at another host,
+//! while an answer that is cut off is lost.
 //!
-//! With a grace of 8 s, in seconds after the signal: 2.3 connections close after a request
-//! (`drain_at`), 6.56 none is taken any more (`closed_at`), 7.46 what was begun after the
-//! signal should have ended, and what has no answer gets one (`work_by`, `answers_by`), 7.71
-//! answers are broken off (`cut_at`), 7.76 the process ends (`ends_at`), 8 it would be killed.
+//! Example for a grace period of 8 s, in seconds after the signal: at 2.3 connections close after
+//! their request (`drain_at`), at 6.56 no connection is accepted any more (`close_at`), at 7.46
+//! answers that were started after the signal should have ended and requests without an answer
+//! are refused (`finish_by`, `refuse_at`), at 7.71 answers are aborted (`abort_at`), at 7.76 the
+//! process exits (`exit_at`), and at 8 it would be killed.
 
 use std::time::{Duration, Instant};
 
-/// How long requests are served as before after the stop signal, while the
-/// balancer notices that this host isn't ready: it asks once a second and takes
-/// a host out after two misses.
+/// Time after the stop signal during which requests are served as before, until the balancer
+/// notices that this host isn't ready. The balancer checks once a second and removes a host after
+/// two failed checks.
 const DRAIN_DELAY: Duration = Duration::from_millis(2300);
-/// The same at most, as a part of the grace: with a grace of 2 s, half of it is left for
-/// what runs.
+/// Upper limit of that delay as a fraction of the grace period. With a grace period of 2 s, half
+/// of it remains for running requests.
 const MAX_DRAIN_DELAY_SHARE: f64 = 0.5;
-/// Part of the time between SIGTERM and SIGKILL after which the process ends
-/// whatever still runs.
+/// Fraction of the time between SIGTERM and SIGKILL after which the process exits, even if
+/// requests are still running.
 const GRACE_SHARE: f64 = 0.97;
-/// Time kept at the end of it in which no connection is taken: a plain request or
-/// a short answer is through by then.
+/// Time before the exit from which no connection is accepted, enough for a plain request or a
+/// short answer.
 const CLOSE_MARGIN: Duration = Duration::from_millis(1200);
-/// Time before the process's end at which answers must have ended that are begun after the
-/// signal, and at which whatever has no answer gets the system's own.
+/// Time before the exit by which answers started after the signal must have ended, and at which
+/// requests without an answer are refused.
 const ANSWER_MARGIN: Duration = Duration::from_millis(300);
-/// Time before the process's end at which an answer that has begun is broken off: its last
-/// bytes must still reach the client. The 250 ms between the two are what an estimate of an
-/// answer's end may be wrong.
+/// Time before the exit at which answers in progress are aborted, so that their last bytes still
+/// reach the client. The 250 ms between this and [`ANSWER_MARGIN`] allow for errors in the
+/// estimated end of an answer.
 const ABORT_MARGIN: Duration = Duration::from_millis(50);
-/// Time without a turn of this process's timers after which it stood still, as a host that
-/// is paused does: five times the longest wait of a process with a tenth of a core.
+/// Time without a timer tick after which the process counts as having been paused, as on a
+/// suspended host. It is five times the longest delay seen with a tenth of a core.
 const MIN_STALL: Duration = Duration::from_millis(500);
-/// Time after a stall within which a signal that came during it is seen.
+/// Time after a stall within which a signal sent during the stall is noticed.
 const SIGNAL_DELAY: Duration = Duration::from_millis(300);
 
-/// Time after a stall within which datagrams from before it are taken.
+/// Time after a stall within which datagrams from before it are still received.
 const QUEUE_DRAIN_TIME: Duration = Duration::from_millis(200);
 
-/// The moments of a process's end.
+/// Points in time of a shutdown.
 #[derive(Debug, Clone, Copy)]
 pub struct ShutdownSchedule {
-    /// When the stop signal came.
+    /// Arrival of the stop signal.
     pub signal_at: Instant,
-    /// From when on connections close when idle, and new ones after one request.
+    /// From here on, idle connections are closed and new ones close after one request.
     pub drain_at: Instant,
-    /// From when on no connection is taken.
+    /// From here on, no connection is accepted.
     pub close_at: Instant,
-    /// Until when answers must have ended that are begun from the signal on.
+    /// Answers that start after the signal must end by this time.
     pub finish_by: Instant,
-    /// When whatever has no answer gets the system's own.
+    /// Requests that have no answer yet are refused.
     pub refuse_at: Instant,
-    /// When answers that have begun are broken off.
+    /// Answers in progress are aborted.
     pub abort_at: Instant,
-    /// When the process ends.
+    /// The process exits.
     pub exit_at: Instant,
 }
 
 impl ShutdownSchedule {
-    /// The end of a process that was told to stop at a time, and is killed a grace later.
+    /// Schedule of a process that noticed the stop signal at `signal_at` and is killed `grace`
+    /// after the signal.
     ///
-    /// A process that stood still when the signal came sees it late, and may be killed that
-    /// much sooner than it thinks. `earliest_signal` is when the signal may have come: work that is
-    /// taken on must end by that; what runs goes on, as it may be in time.
+    /// A process that was paused when the signal arrived notices it late, and may be killed that
+    /// much earlier than it assumes. `earliest_signal` is the earliest time at which the signal
+    /// may have arrived. New work must end within the schedule counted from that time; running
+    /// requests continue, as they may still end in time.
     pub fn new(signal_at: Instant, earliest_signal: Instant, grace: Duration) -> Self {
         let exit_at = signal_at + grace.mul_f64(GRACE_SHARE);
         let drain_at = signal_at + DRAIN_DELAY.min(grace.mul_f64(MAX_DRAIN_DELAY_SHARE));
@@ -87,14 +90,14 @@
     }
 }
 
-/// A time in which a process stood still.
+/// A period in which the process was paused.
 #[derive(Debug, Clone, Copy)]
 struct Stall {
     from: Instant,
     until: Instant,
 }
 
-/// Notices when this process stands still.
+/// Detects pauses of the process.
 #[derive(Debug)]
 pub struct StallDetector {
     last_tick: Instant,
@@ -102,7 +105,7 @@
 }
 
 impl StallDetector {
-    /// The detector of a process that runs at a time.
+    /// Creates a detector for a process that is running at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             last_tick: now,
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Notes that the process runs.
+    /// Records that the process is running.
     pub fn tick(&mut self, now: Instant) {
         if now.saturating_duration_since(self.last_tick) > MIN_STALL {
             let from = self.last_tick;
@@ -119,15 +122,14 @@
         self.last_tick = now;
     }
 
-    /// Whether what is taken from a queue now may have waited there while the process stood
-    /// still.
+    /// Whether an item taken from a queue now may have waited there while the process was paused.
     pub fn may_have_waited(&self, now: Instant) -> bool {
         let is_stalled = now.saturating_duration_since(self.last_tick) > MIN_STALL;
         let was_stalled = |s: Stall| now.saturating_duration_since(s.until) <= QUEUE_DRAIN_TIME;
         is_stalled || self.last_stall.is_some_and(was_stalled)
     }
 
-    /// When a signal that is seen now may have come at the earliest.
+    /// Earliest time at which a signal noticed now may have been sent.
     pub fn earliest_signal(&mut self, now: Instant) -> Instant {
         self.tick(now);
         match self.last_stall {
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -1,25 +1,24 @@
-//! The tenants of one version of the configuration, ready for lookup by key.
+//! Tenants of one version of the configuration, with lookup by key.
 
 use platform::{ApiKey, Quota, Tenant};
 use quota::TenantId;
 use std::sync::Arc;
 
-/// Most keys that are remembered after they were taken away, so that a refusal can be
-/// explained.
+/// Maximum number of removed keys that are remembered, to explain refusals.
 const MAX_REMOVED_KEYS: usize = 1024;
 
-/// A tenant, in the table that gave it.
+/// Index of a tenant in its table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantKey(u32);
 
-/// What requests of a tenant need to know of it.
+/// Properties of a tenant that its requests need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TenantInfo {
-    /// Name.
+    /// Name of the tenant.
     pub name: Arc<str>,
-    /// Rank of its requests, 0 for the most urgent; none if their route's holds.
+    /// Priority of its requests, 0 for the most urgent; `None` to use that of the route.
     pub priority: Option<u32>,
-    /// Quota over all hosts; none if usage is unlimited.
+    /// Quota over all hosts; `None` if usage is unlimited.
     pub quota: Option<Quota>,
     /// Identifier in messages between hosts.
     pub id: TenantId,
@@ -30,13 +29,13 @@
     TenantId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
 }
 
-/// A key that was taken away.
+/// A key that was removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RemovedKey {
     key: ApiKey,
-    /// Name of the tenant that had it.
+    /// Name of its former tenant.
     pub tenant: Arc<str>,
-    /// Version of the configuration without it.
+    /// Version of the configuration that removed it.
     pub version: u64,
 }
 
@@ -49,13 +48,13 @@
     has_quotas: bool,
     /// Sorted by key.
     keys: Vec<(ApiKey, TenantKey)>,
-    /// The latest last.
+    /// Oldest first.
     removed: Vec<RemovedKey>,
 }
 
 impl TenantTable {
-    /// Prepares a version's tenants for lookup, and notes which keys the table before had
-    /// and this one hasn't. A key that two tenants have is the first one's.
+    /// Builds the table of a version. Keys of the previous table that are missing in this one are
+    /// recorded as removed. A key that occurs twice belongs to its first tenant.
     pub fn new(version: u64, tenants: &[Tenant], before: Option<&Self>) -> Self {
         let mut table = Self {
             tenants: Vec::with_capacity(tenants.len()),
@@ -89,7 +88,7 @@
         let former = before.removed.iter().cloned();
         let mut removed: Vec<RemovedKey> =
             former.filter(|r| self.holder(r.key).is_none()).collect();
-        // Both are sorted, so one walk through them finds what is gone.
+        // Both lists are sorted, so one pass finds the removed keys.
         let mut own = self.keys.iter().map(|(key, _)| key).peekable();
         let gone = before.keys.iter().filter(|(key, _)| {
             while own.next_if(|k| *k < key).is_some() {}
@@ -105,18 +104,18 @@
         removed
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that a key belongs to.
     pub fn holder(&self, key: ApiKey) -> Option<TenantKey> {
         let at = self.keys.binary_search_by_key(&key, |(k, _)| *k).ok()?;
         Some(self.keys[at].1)
     }
 
-    /// What is known of a tenant of this table.
+    /// Properties of a tenant of this table.
     pub fn get(&self, tenant: TenantKey) -> &TenantInfo {
         &self.tenants[tenant.0 as usize]
     }
 
-    /// The tenant with an id, if there is one.
+    /// The tenant with the given id, if there is one.
     pub fn by_id(&self, id: TenantId) -> Option<&TenantInfo> {
         let at = self.ids.binary_search_by_key(&id, |(id, _)| *id).ok()?;
         Some(self.get(self.ids[at].1))
@@ -127,12 +126,12 @@
         self.has_quotas
     }
 
-    /// When and from whom a key was taken away, if that is remembered.
+    /// The most recent removal of a key, if it is remembered.
     pub fn removed(&self, key: ApiKey) -> Option<&RemovedKey> {
         self.removed.iter().rev().find(|r| r.key == key)
     }
 
-    /// Tenants in the table.
+    /// Number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
@@ -142,12 +141,12 @@
         self.tenants.is_empty()
     }
 
-    /// Keys in the table.
+    /// Number of keys.
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Keys that were taken away by a version.
+    /// Number of keys removed by a version.
     pub fn removed_count(&self, version: u64) -> usize {
         let removed = self.removed.iter().rev();
         removed.take_while(|r| r.version == version).count()
