--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -5,7 +5,7 @@
 //! rows, are removed.
 
 use super::{SharedCrashes, StoreClock, apply, log_change};
-use crate::follow::{Client, Dependency, held_for, wait_until_reader};
+use crate::follow::{Dependency, StoreClient, hold_time, wait_until_feed_reader};
 use crate::state::Gateway;
 use observe::{Event, emit};
 use platform::store::MAX_ENTRIES;
@@ -52,7 +52,7 @@
         .startup_load
         .finished(gateway.host().is_first_start)
         .await;
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     let mut from = Feed::Start;
     // Pages of a full read of the table.
@@ -60,16 +60,16 @@
     loop {
         let is_full_read = !matches!(from, Feed::Since(_));
         let is_initial = is_full_read && !gateway.startup_load.has_loaded();
-        wait_until_reader(&gateway, is_initial).await;
-        let hold_time = match has_no_live_peer(&gateway) {
+        wait_until_feed_reader(&gateway, is_initial).await;
+        let max_hold_time = match has_no_live_peer(&gateway) {
             true => HOLD_TIME_ISOLATED,
             false => HOLD_TIME,
         };
-        let wait = held_for(&from, hold_time);
+        let wait = hold_time(&from, max_hold_time);
         let timeout = wait + ANSWER_TIMEOUT;
         match client.store().crashes(&from, wait, timeout).await {
             Ok(change) => {
-                dependency.good();
+                dependency.record_success();
                 for why in change.malformed {
                     let what = "crashes";
                     emit(&Event::Undecodable { what, why });
@@ -95,7 +95,7 @@
                 pages.clear();
             }
             Err(e) => {
-                dependency.bad(&e);
+                dependency.record_failure(&e);
                 dependency.pause(&gateway).await;
             }
         }
@@ -175,7 +175,7 @@
 }
 
 /// Removes expired rows. Only the process of rank 0 does so.
-async fn remove_expired(gateway: &Gateway, client: &mut Client, changes: &[CrashChange]) {
+async fn remove_expired(gateway: &Gateway, client: &mut StoreClient, changes: &[CrashChange]) {
     let Some(clock) = gateway.crashes.clock().filter(|_| gateway.rank() == 0) else {
         return;
     };
@@ -199,7 +199,7 @@
 
 /// Writes rows of new crashes and removes rows that are no longer needed, until the process ends.
 pub async fn write(gateway: Arc<Gateway>) {
-    let mut client = Client::new(&gateway);
+    let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
     loop {
         // Also checks periodically for crashes that other hosts should have written.
@@ -211,12 +211,12 @@
         loop {
             match write_once(&gateway, &mut client).await {
                 Ok(true) => {
-                    dependency.good();
+                    dependency.record_success();
                     tokio::time::sleep(PAUSE).await;
                 }
                 Ok(false) => break,
                 Err(e) => {
-                    dependency.bad(&e);
+                    dependency.record_failure(&e);
                     dependency.pause(&gateway).await;
                 }
             }
@@ -225,7 +225,7 @@
 }
 
 /// Writes or removes a batch of rows; returns whether there were any.
-async fn write_once(gateway: &Gateway, client: &mut Client) -> Result<bool, StoreError> {
+async fn write_once(gateway: &Gateway, client: &mut StoreClient) -> Result<bool, StoreError> {
     let Some(clock) = gateway.crashes.clock() else {
         // The first read of the table notifies the writer again.
         return Ok(false);
@@ -369,7 +369,7 @@
         at_ms: clock.to_store_ms(Instant::now()),
         in_trial: false,
     };
-    let mut client = Client::new(gateway);
+    let mut client = StoreClient::new(gateway);
     client.store().take_trial(&row, TRIAL_TIMEOUT).await
 }
 
@@ -378,7 +378,7 @@
     gateway.crashes.lock().trial_returned(work, number);
     let gateway = gateway.clone();
     tokio::spawn(async move {
-        let mut client = Client::new(&gateway);
+        let mut client = StoreClient::new(&gateway);
         let key = [trial_key(work, number)];
         if let Err(e) = client.store().remove_crashes(&key, ANSWER_TIMEOUT).await {
             log_write_failure(key.len(), &e);
--- a/crates/gateway/src/duty/usage/exchange.rs
+++ b/crates/gateway/src/duty/usage/exchange.rs
@@ -1,12 +1,12 @@
-//! Asks other processes for the requests that began there, and answers such questions, in
-//! datagrams on a port of their own.
+//! Polls other processes for the requests that started there, and answers such polls, in
+//! datagrams on a separate port.
 //!
-//! A question or an answer that is lost is asked for again; an answer that comes twice
-//! tells nothing new, as requests are numbered.
+//! Lost queries and answers are repeated by the next poll; duplicate answers have no effect, as
+//! requests are numbered.
 
 use super::ledger::Position;
 use super::message::{Ask, Message, Told};
-use super::{Collector, Usage, is_collector, is_wanted, time_of_day_ms};
+use super::{Collector, Usage, is_collector, is_enabled, time_of_day_ms};
 use crate::StartError;
 use crate::state::Gateway;
 use std::net::{IpAddr, SocketAddr};
@@ -14,59 +14,60 @@
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
 
-/// Shortest time between two questions to one process: what a process that is killed
-/// hadn't told is lost, half of this time of its requests on average.
-const ASK_EVERY: Duration = Duration::from_millis(250);
-/// Time added for each process that is asked, so that a collector asks at most a hundred
-/// a second; and the longest time in all.
-const ASK_EVERY_PER_PEER: Duration = Duration::from_millis(10);
-const ASK_AT_LEAST: Duration = Duration::from_millis(2500);
-/// A process that hasn't answered for so long is asked the less often.
-const SILENT: Duration = Duration::from_secs(3);
-const ASK_SILENT_EVERY: Duration = Duration::from_secs(1);
-/// Longest time for which an answer is waited for.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
-/// Beliefs about the time of day count for so long.
-const BELIEF_LASTS: Duration = Duration::from_secs(3);
-/// Largest datagram.
+/// Minimum interval between polls of one process. If a process is killed, its requests since the
+/// last poll are lost, on average those of half this interval.
+const POLL_EVERY: Duration = Duration::from_millis(250);
+/// Additional interval per polled process, which limits a collector to a hundred polls per
+/// second, and the maximum interval.
+const POLL_EVERY_PER_PEER: Duration = Duration::from_millis(10);
+const MAX_POLL_PAUSE: Duration = Duration::from_millis(2500);
+/// Time without an answer after which a process is polled less often.
+const SILENT_AFTER: Duration = Duration::from_secs(3);
+const POLL_SILENT_EVERY: Duration = Duration::from_secs(1);
+/// Maximum time to wait for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Validity of an estimate of the time of day.
+const ESTIMATE_LIFETIME: Duration = Duration::from_secs(3);
+/// Maximum size of a datagram.
 const MAX_DATAGRAM: usize = 16 << 10;
-/// Collectors that are remembered.
+/// Maximum number of collectors that are remembered.
 const MAX_COLLECTORS: usize = 8;
-/// How often and with what pause the last requests are told before a process ends.
-const LAST_TOLD: u32 = 3;
-const LAST_PAUSE: Duration = Duration::from_millis(20);
+/// Number of times that the last requests are sent before a process exits, and the pause between
+/// them.
+const FINAL_SENDS: u32 = 3;
+const FINAL_SEND_PAUSE: Duration = Duration::from_millis(20);
 
-/// A question that waits for its answer.
+/// A query that hasn't been answered.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct OpenQuery {
     ip: IpAddr,
     number: u32,
     at: Instant,
 }
 
-/// What a host said its time of day was.
+/// Estimate of the time of day from a host's answer.
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct TimeEstimate {
     ip: IpAddr,
     base_ms: i64,
     at: Instant,
 }
 
-/// The questions of this process that are open, and what the answers told of time.
+/// Open queries of this process, and the estimates of the time of day from the answers.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct Queries {
     number: u32,
-    open: Vec<Asked>,
-    beliefs: Vec<Belief>,
+    open: Vec<OpenQuery>,
+    estimates: Vec<TimeEstimate>,
 }
 
-impl Questions {
-    fn ask(&mut self, ip: IpAddr, now: Instant) -> u32 {
+impl Queries {
+    fn open_query(&mut self, ip: IpAddr, now: Instant) -> u32 {
         self.open
-            .retain(|q| now.saturating_duration_since(q.at) < ANSWER_WITHIN);
+            .retain(|q| now.saturating_duration_since(q.at) < ANSWER_TIMEOUT);
         self.number = self.number.wrapping_add(1).max(1);
         let number = self.number;
-        self.open.push(Asked {
+        self.open.push(OpenQuery {
             ip,
             number,
             at: now,
@@ -74,8 +75,8 @@
         number
     }
 
-    /// When the question was asked that an answer belongs to.
-    fn answered(&mut self, ip: IpAddr, number: u32) -> Option<Instant> {
+    /// Closes the query that an answer belongs to, and returns the time at which it was sent.
+    fn close_query(&mut self, ip: IpAddr, number: u32) -> Option<Instant> {
         let at = self
             .open
             .iter()
@@ -83,26 +84,26 @@
         Some(self.open.remove(at).at)
     }
 
-    fn believe(&mut self, ip: IpAddr, base_ms: i64, at: Instant) {
-        self.beliefs.retain(|b| b.ip != ip);
-        self.beliefs.push(Belief { ip, base_ms, at });
+    fn add_estimate(&mut self, ip: IpAddr, base_ms: i64, at: Instant) {
+        self.estimates.retain(|e| e.ip != ip);
+        self.estimates.push(TimeEstimate { ip, base_ms, at });
     }
 
-    fn beliefs(&mut self, now: Instant) -> Vec<i64> {
-        self.beliefs
-            .retain(|b| now.saturating_duration_since(b.at) < BELIEF_LASTS);
-        self.beliefs.iter().map(|b| b.base_ms).collect()
+    fn estimates(&mut self, now: Instant) -> Vec<i64> {
+        self.estimates
+            .retain(|e| now.saturating_duration_since(e.at) < ESTIMATE_LIFETIME);
+        self.estimates.iter().map(|e| e.base_ms).collect()
     }
 }
 
-/// The socket for usage, and the questions asked over it.
+/// The socket for usage messages, and the queries sent over it.
 #[derive(Debug)]
 pub struct Exchange {
     socket: UdpSocket,
-    questions: Mutex<Questions>,
+    queries: Mutex<Queries>,
 }
 
-/// Binds the port for usage; starts to hear and to ask.
+/// Binds the port for usage messages, and starts to receive and to poll.
 pub fn start(gateway: &Arc<Gateway>) -> Result<(), StartError> {
     let host = gateway.host();
     let addr = SocketAddr::new(host.ip, host.usage_port);
@@ -111,185 +112,188 @@
     socket.set_nonblocking(true).map_err(bad)?;
     let exchange = Arc::new(Exchange {
         socket: UdpSocket::from_std(socket).map_err(bad)?,
-        questions: Mutex::default(),
+        queries: Mutex::default(),
     });
-    tokio::spawn(hear(gateway.clone(), exchange.clone()));
-    tokio::spawn(ask(gateway.clone(), exchange));
+    tokio::spawn(receive(gateway.clone(), exchange.clone()));
+    tokio::spawn(poll_peers(gateway.clone(), exchange));
     Ok(())
 }
 
-async fn hear(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
+async fn receive(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
-        // An error here means that an earlier datagram met a closed port.
+        // An error here means that an earlier datagram was sent to a closed port.
         let Ok((len, from)) = exchange.socket.recv_from(&mut buf).await else {
             continue;
         };
         let now = Instant::now();
         match wire::decode::<Message>(&buf[..len]) {
-            // Others may not know what tenants there are, nor say which windows are through.
+            // Other senders must not learn the tenants' names or report windows as done.
             Some(Message::Ask(ask)) if gateway.peers().knows(from.ip()) => {
                 let told = answer(&gateway.usage, from.ip(), ask, now);
                 send(&exchange.socket, from, &Message::Told(told));
             }
-            Some(Message::Told(told)) => take(&gateway, &exchange, from.ip(), &told, now),
-            // Any sender may send anything; peers of another version are logged by the
+            Some(Message::Told(told)) => handle_told(&gateway, &exchange, from.ip(), &told, now),
+            // Anyone can send invalid datagrams; peers of another version are logged by the
             // exchange of loads.
             Some(Message::Ask(_)) | None => {}
         }
     }
 }
 
-/// NB: a datagram that can't be sent now is as good as lost, and is asked for again.
+/// NB: a datagram that can't be sent now counts as lost, and is queried again.
 fn send(socket: &UdpSocket, to: SocketAddr, message: &Message) {
     let _ = socket.try_send_to(&wire::encode_compact(message), to);
 }
 
-/// Answers a collector.
+/// Answers a collector's query.
 fn answer(usage: &Usage, ip: IpAddr, ask: Ask, now: Instant) -> Told {
-    usage.set_done(ask.done);
+    usage.set_done_window(ask.done);
     let told = {
-        let mut begun = usage.begun();
-        begun.forget(now);
-        begun.since(ask.start, ask.from, ask.number, now)
+        let mut request_log = usage.request_log();
+        request_log.expire(now);
+        request_log.read_from(ask.start, ask.from, ask.number, now)
     };
-    let mut asked = usage.asked();
-    asked.at = now;
-    asked.by.retain(|c| c.ip != ip);
-    asked.by.push(Collector {
+    let mut polls = usage.polls();
+    polls.last_at = now;
+    polls.collectors.retain(|c| c.ip != ip);
+    polls.collectors.push(Collector {
         ip,
-        asked_at: now,
-        lacks_from: told.from,
+        polled_at: now,
+        next_needed: told.from,
         start: told.start,
     });
-    if asked.by.len() > MAX_COLLECTORS {
-        asked.by.remove(0);
+    if polls.collectors.len() > MAX_COLLECTORS {
+        polls.collectors.remove(0);
     }
     told
 }
 
-/// Takes an answer, or what a process tells before it ends.
-fn take(gateway: &Gateway, exchange: &Exchange, ip: IpAddr, told: &Told, now: Instant) {
+/// Handles an answer, or the last message of a process that exits.
+fn handle_told(gateway: &Gateway, exchange: &Exchange, ip: IpAddr, told: &Told, now: Instant) {
     let is_known = gateway.peers().knows(ip);
-    let mut questions = exchange.questions();
-    // One that waited while this process stood still is asked for again: nobody knows when
-    // it was made.
+    let mut queries = exchange.queries();
+    // An answer that waited while this process was paused is queried again, as the time at which
+    // it was made is unknown.
     let is_timely = |at: &Instant| {
         let took = now.saturating_duration_since(*at);
-        took < ANSWER_WITHIN && !gateway.may_have_waited(now)
+        took < ANSWER_TIMEOUT && !gateway.may_have_waited(now)
     };
-    let asked_at = questions.answered(ip, told.number).filter(is_timely);
+    let asked_at = queries.close_query(ip, told.number).filter(is_timely);
     let is_last = told.number == 0 && is_known;
     let at = match asked_at {
-        // The answer was made between the question and now.
+        // The answer was made at some time between the query and now.
         Some(asked_at) => asked_at + now.saturating_duration_since(asked_at) / 2,
         None if is_last => now,
         None => return,
     };
-    let base_ms = gateway.usage.clock().belief(told.time_of_day_ms, at);
-    questions.believe(ip, base_ms, now);
-    if gateway.usage.ledger().take(ip, told, at) && !is_last {
-        ask_one(gateway, exchange, &mut questions, ip, now);
+    let base_ms = gateway.usage.clock().estimate_base(told.time_of_day_ms, at);
+    queries.add_estimate(ip, base_ms, now);
+    if gateway.usage.ledger().add(ip, told, at) && !is_last {
+        poll_peer(gateway, exchange, &mut queries, ip, now);
     }
 }
 
 impl Exchange {
-    fn questions(&self) -> std::sync::MutexGuard<'_, Questions> {
-        self.questions.lock().expect("no panic while locked")
+    fn queries(&self) -> std::sync::MutexGuard<'_, Queries> {
+        self.queries.lock().expect("no panic while locked")
     }
 }
 
-fn ask_one(
+fn poll_peer(
     gateway: &Gateway,
     exchange: &Exchange,
-    questions: &mut Questions,
+    queries: &mut Queries,
     ip: IpAddr,
     now: Instant,
 ) {
     let Position { start, next } = gateway.usage.ledger().position(ip);
     let ask = Ask {
-        number: questions.ask(ip, now),
+        number: queries.open_query(ip, now),
         start,
         from: next,
-        done: gateway.usage.done(),
+        done: gateway.usage.done_window(),
     };
     let to = SocketAddr::new(ip, gateway.host().usage_port);
     send(&exchange.socket, to, &Message::Ask(ask));
 }
 
-/// Asks all processes while this one collects, until it ends.
-async fn ask(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
-    let mut asked_silent_at = Instant::now();
+/// Polls all processes while this one is a collector, until it ends.
+async fn poll_peers(gateway: Arc<Gateway>, exchange: Arc<Exchange>) {
+    let mut silent_polled_at = Instant::now();
     loop {
         let peers = gateway.peers().addresses();
-        let pause = ASK_EVERY.max(ASK_EVERY_PER_PEER * peers.len() as u32);
-        tokio::time::sleep(pause.min(ASK_AT_LEAST)).await;
+        let pause = POLL_EVERY.max(POLL_EVERY_PER_PEER * peers.len() as u32);
+        tokio::time::sleep(pause.min(MAX_POLL_PAUSE)).await;
         let now = Instant::now();
-        if !is_wanted(&gateway) || !is_collector(&gateway, now) {
-            gateway.usage.begun().forget(now);
+        if !is_enabled(&gateway) || !is_collector(&gateway, now) {
+            gateway.usage.request_log().expire(now);
             continue;
         }
-        let may_ask_silent = now.saturating_duration_since(asked_silent_at) >= ASK_SILENT_EVERY;
-        if may_ask_silent {
-            asked_silent_at = now;
+        let may_poll_silent = now.saturating_duration_since(silent_polled_at) >= POLL_SILENT_EVERY;
+        if may_poll_silent {
+            silent_polled_at = now;
         }
-        let mut questions = exchange.questions();
-        take_own(&gateway, &mut questions, now);
+        let mut queries = exchange.queries();
+        add_own_requests(&gateway, &mut queries, now);
         for ip in peers {
-            let heard_at = gateway.usage.ledger().heard_at(ip);
-            let is_silent = heard_at.is_none_or(|at| now.saturating_duration_since(at) > SILENT);
-            if !is_silent || may_ask_silent {
-                ask_one(&gateway, &exchange, &mut questions, ip, now);
+            let last_heard_at = gateway.usage.ledger().last_heard_at(ip);
+            let is_silent =
+                last_heard_at.is_none_or(|at| now.saturating_duration_since(at) > SILENT_AFTER);
+            if !is_silent || may_poll_silent {
+                poll_peer(&gateway, &exchange, &mut queries, ip, now);
             }
         }
-        let beliefs = questions.beliefs(now);
-        gateway.usage.clock().round(beliefs, now);
+        let estimates = queries.estimates(now);
+        gateway.usage.clock().add_round(estimates, now);
     }
 }
 
-/// Takes this process's own requests, as any other's.
-fn take_own(gateway: &Gateway, questions: &mut Questions, now: Instant) {
+/// Adds this process's own requests to the ledger like any other's.
+fn add_own_requests(gateway: &Gateway, queries: &mut Queries, now: Instant) {
     let usage = &gateway.usage;
     let ip = gateway.host().ip;
     loop {
         let Position { start, next } = usage.ledger().position(ip);
         let told = {
-            let mut begun = usage.begun();
-            begun.forget(now);
-            begun.since(start, next, 0, now)
+            let mut request_log = usage.request_log();
+            request_log.expire(now);
+            request_log.read_from(start, next, 0, now)
         };
-        if !usage.ledger().take(ip, &told, now) {
+        if !usage.ledger().add(ip, &told, now) {
             break;
         }
     }
-    let base_ms = usage.clock().belief(time_of_day_ms(), now);
-    questions.believe(ip, base_ms, now);
+    let base_ms = usage.clock().estimate_base(time_of_day_ms(), now);
+    queries.add_estimate(ip, base_ms, now);
 }
 
-/// Tells the collectors of late what they lack, a few times over, as nobody asks again.
-/// Gives how many requests no collector has asked for.
-pub async fn tell_last(gateway: &Arc<Gateway>) -> u64 {
+/// Sends recent collectors the requests that they don't have yet. The messages are repeated, as
+/// no collector will query again. Returns the number of requests that no collector has polled
+/// for.
+pub async fn send_remaining(gateway: &Arc<Gateway>) -> u64 {
     let host = gateway.host();
     let now = Instant::now();
     let Ok(socket) = UdpSocket::bind(SocketAddr::new(host.ip, 0)).await else {
         return unreported(gateway, now);
     };
     let collectors: Vec<Collector> = {
-        let asked = gateway.usage.asked();
-        let of_late = asked
-            .by
+        let polls = gateway.usage.polls();
+        let recent = polls
+            .collectors
             .iter()
-            .filter(|c| now.saturating_duration_since(c.asked_at) < SILENT);
-        of_late.copied().collect()
+            .filter(|c| now.saturating_duration_since(c.polled_at) < SILENT_AFTER);
+        recent.copied().collect()
     };
-    for _ in 0..LAST_TOLD {
+    for _ in 0..FINAL_SENDS {
         for collector in &collectors {
-            let begun = gateway.usage.begun();
-            let told = begun.since(collector.start, collector.lacks_from, 0, Instant::now());
+            let request_log = gateway.usage.request_log();
+            let told =
+                request_log.read_from(collector.start, collector.next_needed, 0, Instant::now());
             let to = SocketAddr::new(collector.ip, host.usage_port);
             send(&socket, to, &Message::Told(told));
         }
-        tokio::time::sleep(LAST_PAUSE).await;
+        tokio::time::sleep(FINAL_SEND_PAUSE).await;
     }
     match collectors.is_empty() {
         true => unreported(gateway, now),
@@ -297,17 +301,17 @@
     }
 }
 
-/// Requests of this process that began in windows whose report isn't through.
+/// Requests of this process that started in windows whose report isn't done.
 fn unreported(gateway: &Gateway, now: Instant) -> u64 {
     let host = gateway.host();
     let length = host.cloud.as_ref().and_then(|c| c.usage).map(|u| u.window);
     let usage = &gateway.usage;
     let begins = length.and_then(|length| {
-        let next = usage.done().checked_add(1)?;
+        let next = usage.done_window().checked_add(1)?;
         let unix_ms = next.checked_mul(length.as_millis() as u64)?;
         usage.clock().instant(i64::try_from(unix_ms).ok()?)
     });
-    let mut begun = usage.begun();
-    begun.forget(now);
-    begun.kept_since(begins)
+    let mut request_log = usage.request_log();
+    request_log.expire(now);
+    request_log.count_since(begins)
 }
--- /dev/null
+++ b/crates/gateway/src/duty/usage/request_log.rs
@@ -0,0 +1,132 @@
+//! Log of this process's requests that started to run, by tenant.
+//!
+//! Requests are numbered, so that a collector can query those after the last one that it has.
+//! Lost and duplicate answers therefore have no effect.
+
+use super::message::{BegunAt, Told};
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Retention of a request: the time to the end of its window, the time until its report is due,
+/// and the same again for a new collector after an outage of the store.
+pub const RETENTION: Duration = Duration::from_secs(40);
+/// Maximum number of requests in the log: 3 MB, or 2,500 requests per second over the whole
+/// retention.
+const MAX_ENTRIES: usize = 100_000;
+/// Maximum number of requests in one answer, and maximum total length of the tenant names in it,
+/// which keep the datagram at about 8 KB.
+const MAX_REQUESTS_PER_ANSWER: usize = 800;
+const MAX_NAME_BYTES: usize = 3000;
+
+/// A request that started to run.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Entry {
+    /// Time at which it started.
+    pub at: Instant,
+    /// Name of its tenant.
+    pub tenant: Arc<str>,
+}
+
+/// Recent requests of this process.
+#[derive(Debug)]
+pub struct RequestLog {
+    start: u32,
+    /// Number of the oldest entry.
+    first_number: u64,
+    entries: VecDeque<Entry>,
+    /// Returns this process's wall-clock time for collectors, in Unix milliseconds.
+    time_of_day: fn() -> i64,
+}
+
+impl RequestLog {
+    /// An empty log for a start of the process.
+    pub fn new(start: u32, time_of_day: fn() -> i64) -> Self {
+        Self {
+            start,
+            first_number: 0,
+            entries: VecDeque::new(),
+            time_of_day,
+        }
+    }
+
+    /// Adds a request that started at `at`.
+    pub fn record(&mut self, at: Instant, tenant: Arc<str>) {
+        if self.entries.len() >= MAX_ENTRIES {
+            self.drop_oldest();
+        }
+        self.entries.push_back(Entry { at, tenant });
+    }
+
+    /// Drops entries that are too old to be reported.
+    pub fn expire(&mut self, now: Instant) {
+        while self
+            .entries
+            .front()
+            .is_some_and(|e| now.saturating_duration_since(e.at) > RETENTION)
+        {
+            self.drop_oldest();
+        }
+    }
+
+    fn drop_oldest(&mut self) {
+        self.entries.pop_front();
+        self.first_number += 1;
+    }
+
+    /// Number of entries that started at or after `at`; of all entries if it is `None`.
+    pub fn count_since(&self, at: Option<Instant>) -> u64 {
+        let kept = self.entries.iter();
+        kept.filter(|e| at.is_none_or(|at| e.at >= at)).count() as u64
+    }
+
+    /// Number that the next request will get.
+    pub fn next_number(&self) -> u64 {
+        self.first_number + self.entries.len() as u64
+    }
+
+    /// An answer with the requests from number `from` of this process's start `start`, or from
+    /// the oldest entry if `start` is another one. `number` identifies the query.
+    pub fn read_from(&self, start: u32, from: u64, number: u32, now: Instant) -> Told {
+        let from = match start == self.start {
+            true => from.clamp(self.first_number, self.next_number()),
+            false => self.first_number,
+        };
+        let mut told = Told {
+            number,
+            start: self.start,
+            from,
+            next: self.next_number(),
+            time_of_day_ms: (self.time_of_day)(),
+            tenants: Vec::new(),
+            begun: Vec::new(),
+        };
+        let mut name_bytes = 0;
+        let skipped = (from - self.first_number) as usize;
+        for entry in self
+            .entries
+            .iter()
+            .skip(skipped)
+            .take(MAX_REQUESTS_PER_ANSWER)
+        {
+            let known = told.tenants.iter().position(|name| **name == *entry.tenant);
+            if known.is_none()
+                && name_bytes + entry.tenant.len() > MAX_NAME_BYTES
+                && !told.begun.is_empty()
+            {
+                break;
+            }
+            let tenant = known.unwrap_or_else(|| {
+                name_bytes += entry.tenant.len();
+                told.tenants.push(entry.tenant.to_string());
+                told.tenants.len() - 1
+            });
+            let ago = now.saturating_duration_since(entry.at);
+            told.begun.push(BegunAt {
+                ago_ms: ago.as_millis() as u32,
+                tenant: tenant as u16,
+            });
+        }
+        told
+    }
+}
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -85,14 +85,14 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(CHECK_EVERY) => {}
-            () = gateway.behind.notified() => {}
+            () = gateway.catch_up.notified() => {}
         }
         let now = Instant::now();
         match peer_with_newer(&gateway, |status| status.config, gateway.config_version()) {
             None => config_ahead_since = None,
             Some(ip) if now - *config_ahead_since.get_or_insert(now) >= config_delay(&gateway) => {
                 if let Some(config) = fetch::<Config>(&gateway, ip, CONFIG_PATH).await {
-                    follow::put_in_force(&gateway, config, "peer");
+                    follow::apply_config(&gateway, config, "peer");
                 }
             }
             Some(_) => {}
@@ -172,8 +172,8 @@
 /// Loads response durations from all live peers, from the stop signal until this process accepts no
 /// more requests. Each peer has seen a part of the slow requests.
 pub async fn fetch_all_durations(gateway: Arc<Gateway>) {
-    let ending = gateway.stopping().await;
-    while Instant::now() < ending.closed_at {
+    let ending = gateway.wait_for_stop().await;
+    while Instant::now() < ending.close_at {
         // Concurrently, so that a peer that doesn't answer doesn't delay the others.
         let requests = live_peers(&gateway)
             .into_iter()
@@ -235,10 +235,10 @@
     let present = changes.present.into_iter().map(Registration::Present);
     let gone = changes.gone.into_iter();
     let gone = gone.map(|id| Registration::Removed { id });
-    follow::merge_peers(gateway, present.chain(gone).collect(), is_whole, version);
+    follow::merge_from_peer(gateway, present.chain(gone).collect(), is_whole, version);
     let age = Duration::from_millis(read_ms_ago.into());
     if let Some(read_at) = asked_at.checked_sub(age) {
-        gateway.note_read(version, read_at, store_ms);
+        gateway.record_read(version, read_at, store_ms);
     }
     let known = gateway.registry();
     let is_same = known.version > version || known.view == view;
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -3,7 +3,7 @@
 use crate::StartError;
 use crate::crashes;
 use crate::peers::{Load, PeerStatus, Scope, catch_up};
-use crate::state::{Gateway, Registry};
+use crate::state::{Gateway, RegistryState};
 use net::server::bind;
 use net::{HeadLimits, Protocol, Server, Stop};
 use observe::{Event, emit};
@@ -123,11 +123,11 @@
         crashes::receive(&gateway, &status, now);
         if status.registry > gateway.registry().version || status.config > gateway.config_version()
         {
-            gateway.behind.notify_one();
+            gateway.catch_up.notify_one();
         }
         let read = now
             .checked_sub(Duration::from_millis(status.registry_ms.into()))
-            .map(|read_at| Registry {
+            .map(|read_at| RegistryState {
                 version: status.registry,
                 read_at,
                 store_ms: status.registry_at_ms,
@@ -190,7 +190,7 @@
 /// The status of this process alone.
 fn own_status(gateway: &Gateway, placements_within: Duration) -> PeerStatus {
     let now = Instant::now();
-    let settled = gateway.settled_registry();
+    let settled = gateway.shareable_registry();
     let mut fleet = gateway.fleet();
     let mut loads: Vec<Load> = fleet.iter().filter_map(|(_, u)| u.load()).collect();
     loads.sort_unstable_by_key(|load| load.upstream);
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! Endpoints for the balancer's readiness check and for metrics.
 
 use crate::StartError;
 use crate::state::Gateway;
@@ -10,20 +10,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Path that the balancer asks.
+/// Path of the readiness check.
 const READY_PATH: &str = "/readyz";
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Largest head.
-const MAX_HEAD: usize = 8 << 10;
-/// Longest that a connection may be idle.
+/// Maximum size of a request head.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Maximum idle time of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves readiness and metrics until the process ends.
 pub fn serve(gateway: &Arc<Gateway>, addr: SocketAddr) -> Result<(), StartError> {
     let listener = bind(addr).map_err(|e| StartError::Bind(addr, e))?;
     let server = Server {
-        head: HeadLimits::new(IDLE_TIMEOUT, MAX_HEAD),
+        head: HeadLimits::new(IDLE_TIMEOUT, MAX_HEAD_BYTES),
         protocol: Protocol::Http1,
         drain: Stop::default(),
         stop: Stop::default(),
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,11 +1,11 @@
-//! The way of a request: receive, route, choose, attempt, relay, account.
+//! Request handling: receive, route, choose, attempt, relay, account.
 
 mod caller;
 mod refusal;
 mod time;
 
 pub use refusal::Refusal;
-pub use time::{Answer, Outlook, StreamedGuard};
+pub use time::{AnswerProgress, FinishEstimate, StreamGuard};
 
 use crate::account::Account;
 use crate::answer::Reason;
@@ -28,35 +28,34 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How much longer than the latency target a first byte may take before another
-/// upstream is tried. Admitted prompts are estimated at 0.6 of it; on two loaded
-/// days 1 and 5 in 1,000 first bytes took longer than twice the target, at an
-/// upstream that is cut off all do.
-const PATIENCE: f64 = 2.0;
-/// The same at least, where targets are short: a lost packet comes again after
-/// 0.2 s.
-const MIN_PATIENCE: Duration = Duration::from_millis(240);
-/// Upstreams that are tried without anything being sent to them, for one request.
-const MAX_UNSENT: usize = 4;
+/// Timeout for the first byte, as a multiple of the latency target, after which another upstream
+/// is tried. Prompts are admitted with estimates of up to 0.6 of the target. On two loaded days 1
+/// and 5 of 1,000 first bytes took longer than twice the target; at an unreachable upstream all
+/// do.
+const FIRST_BYTE_TIMEOUT_FACTOR: f64 = 2.0;
+/// Minimum first-byte timeout, for short targets: a lost packet is retransmitted after 0.2 s.
+const MIN_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(240);
+/// Maximum number of upstreams tried for one request without anything being sent to them.
+const MAX_UNSENT_UPSTREAMS: usize = 4;
 
-/// A request, read in full and routed.
+/// A request that has been read in full and routed.
 #[derive(Debug)]
 pub struct Call {
-    /// The process.
+    /// State of the process.
     pub gateway: Arc<Gateway>,
-    /// When it came.
+    /// Time at which the request arrived.
     pub since: Instant,
-    /// What its headers say.
+    /// Parsed headers.
     pub incoming: Incoming,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub path: Uri,
-    /// Headers, as they came.
+    /// Headers, unchanged.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Event after which the stream goes on.
+    /// Id of the event after which the stream is to be resumed.
     pub last_event: Option<u64>,
     /// Whether the service's upstreams are model engines.
     pub is_engine: bool,
@@ -64,12 +63,12 @@
     caller: Caller,
     service: ServiceKey,
     tried: Vec<UpstreamKey>,
-    /// What an upstream said that failed, while another is tried.
+    /// Failure response of an upstream, kept while another upstream is tried.
     failure: Option<Box<attempt::Started>>,
     fingerprint: OnceLock<Fingerprint>,
 }
 
-/// Answers a client.
+/// Handles a request and returns the response to the client.
 pub async fn serve(gateway: Arc<Gateway>, req: Request<IncomingBody>) -> Response<Body> {
     let since = Instant::now();
     let (mut head, body) = req.into_parts();
@@ -77,7 +76,7 @@
     let authority = head.uri.authority().map(|a| a.as_str());
     let incoming = match Incoming::read(&head.headers, authority) {
         Ok(incoming) => incoming,
-        Err(e) => return refusal::malformed(&gateway, since, e),
+        Err(e) => return refusal::refuse_malformed(&gateway, since, e),
     };
     let mut account = Account::open(&gateway, &incoming.id, since);
     match receive(gateway, incoming, head, body, &mut account).await {
@@ -106,10 +105,10 @@
         .find(&incoming.host, head.uri.path())
         .ok_or(Reason::NoRoute)?;
     account.route = Some(target.route.name.clone());
-    let caller = caller::admit(&gateway, &table, target, &incoming, account)?;
+    let caller = caller::authenticate(&gateway, &table, target, &incoming, account)?;
     let acquired = caller::acquire_quota(&gateway, &table, caller, &incoming, account);
     account.grant = acquired.await?;
-    let left = target.left(incoming.deadline, account.since.elapsed());
+    let time_left = target.left(incoming.deadline, account.since.elapsed());
     let service = target.draw().ok_or(Reason::NoUpstream)?;
     let is_engine = {
         let fleet = gateway.fleet();
@@ -125,11 +124,12 @@
     let body = match body.is_end_stream() {
         true => Bytes::new(),
         false => {
-            let over = time::time_over(gateway.clone(), left, Answer::Awaited);
+            let timeout =
+                time::wait_for_timeout(gateway.clone(), time_left, AnswerProgress::Pending);
             tokio::select! {
                 biased;
-                body = read_whole(body, table.limits.body_bytes, left) => body?,
-                why = over => return Err(why.into()),
+                body = read_full_body(body, table.limits.body_bytes, time_left) => body?,
+                why = timeout => return Err(why.into()),
             }
         }
     };
@@ -152,15 +152,21 @@
     })
 }
 
-async fn read_whole(body: IncomingBody, limit: usize, left: Duration) -> Result<Bytes, Reason> {
-    read_body(body, limit, left).await.map_err(|e| match e {
-        BodyFault::TooLarge => Reason::TooLarge,
-        BodyFault::Slow => Reason::SlowBody,
-        BodyFault::Broken => Reason::BrokenBody,
-    })
+async fn read_full_body(
+    body: IncomingBody,
+    limit: usize,
+    time_left: Duration,
+) -> Result<Bytes, Reason> {
+    read_body(body, limit, time_left)
+        .await
+        .map_err(|e| match e {
+            BodyFault::TooLarge => Reason::TooLarge,
+            BodyFault::Slow => Reason::SlowBody,
+            BodyFault::Broken => Reason::BrokenBody,
+        })
 }
 
-/// The path and query alone, as they go to an upstream.
+/// Path and query without scheme and authority, as sent to upstreams.
 fn path_and_query(uri: &Uri) -> Uri {
     match uri.path_and_query() {
         Some(path) => Uri::from(path.clone()),
@@ -169,64 +175,64 @@
 }
 
 impl Call {
-    /// Its route.
+    /// Route of the request.
     pub fn target(&self) -> &Target {
-        // NB: the table doesn't change, so the route that was found is found again.
+        // NB: the table doesn't change, so the lookup succeeds again.
         self.table
             .find(&self.incoming.host, self.path.path())
             .expect("the route was found when the request came")
     }
 
-    /// What it asks for and who asks, hashed when it is first needed: only requests under
-    /// which an upstream ended, and those that come while such are known, pay for it.
+    /// Hash of the request's content and sender. It is computed lazily: only requests during
+    /// which an upstream crashed, and requests that arrive while such crashes are known, need it.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| fingerprint(self))
     }
 
     fn need(&self, account: &Account) -> Need<'_> {
         let route = &self.target().route;
-        let is_again = account.attempts > 0;
+        let is_retry = account.attempts > 0;
         Need {
             service: self.service,
             parts: &self.incoming.parts,
             prompt_tokens: self.incoming.prompt_tokens,
             max_output_tokens: self.incoming.max_output_tokens,
             target: route.target_latency,
-            is_rest: is_again && self.last_event.is_some(),
+            is_rest: is_retry && self.last_event.is_some(),
             is_alone: false,
             tried: &self.tried,
         }
     }
 
-    /// Finds an upstream whose answer begins, or the reason why there is none. An upstream's
-    /// own failure is passed on if nothing better comes.
+    /// Tries upstreams until one starts to answer, or returns the reason for a refusal. An
+    /// upstream's own failure response is returned if no other upstream does better.
     async fn run(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
-        let over = self.time_over(Answer::Awaited);
-        let done = tokio::select! {
+        let timeout = self.wait_for_timeout(AnswerProgress::Pending);
+        let outcome = tokio::select! {
             biased;
-            done = self.run_untimed(account) => done,
-            why = over => {
+            outcome = self.run_attempts(account) => outcome,
+            why = timeout => {
                 unanswered::watch_timed_out(self, account);
                 Err(why.into())
             }
         };
-        match (done, self.failure.take()) {
+        match (outcome, self.failure.take()) {
             (Err(_), Some(failure)) => Ok(*failure),
-            (done, _) => done,
+            (outcome, _) => outcome,
         }
     }
 
-    async fn run_untimed(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
+    async fn run_attempts(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
         let mut last = Refusal::from(Reason::NoUpstream);
-        // Whether the next attempt has been taken off the budget.
-        let mut is_paid = false;
+        // Whether the next attempt has already been taken from the retry budget.
+        let mut is_retry_spent = false;
         loop {
             let admission = match crashes::admit(self, account).await {
                 Admission::Rejected(why) => return Err(why.into()),
                 admission => admission,
             };
-            let is_again = account.attempts > 0 && !std::mem::take(&mut is_paid);
-            if is_again && !self.may_retry(account) {
+            let is_retry = account.attempts > 0 && !std::mem::take(&mut is_retry_spent);
+            if is_retry && !self.acquire_retry(account) {
                 return Err(last);
             }
             let need = Need {
@@ -238,13 +244,15 @@
                 Choice::NoUpstream => return Err(last),
                 Choice::Busy(inputs, retry_after) => {
                     account.inputs = Some(inputs);
-                    return Err(Refusal::until(Reason::Overloaded, retry_after));
+                    return Err(Refusal::with_retry_after(Reason::Overloaded, retry_after));
                 }
             };
-            if !self.ends_in_time(account, plan.inputs.estimate_ms) {
+            if !self.finishes_in_time(account, plan.inputs.estimate_ms) {
                 return Err(Reason::Stopping.into());
             }
-            let tried = self.attempt_patiently(account, &plan, &mut is_paid).await;
+            let tried = self
+                .attempt_with_timeout(account, &plan, &mut is_retry_spent)
+                .await;
             self.tried
                 .push(account.tried.map_or(plan.key, |sent| sent.key));
             match tried {
@@ -253,16 +261,16 @@
                     if !started.status.is_server_error() || !may_repeat {
                         return Ok(*started);
                     }
-                    if !self.may_retry(account) {
+                    if !self.acquire_retry(account) {
                         return Ok(*started);
                     }
-                    is_paid = true;
+                    is_retry_spent = true;
                     last = Reason::UpstreamLost.into();
-                    // One that still comes holds its connection.
+                    // A response that is still incomplete would hold its connection.
                     self.failure = Some(started).filter(|s| s.rest.is_none());
                 }
                 Tried::NotRun(NotRun::NotSent | NotRun::NoPrefill) => {
-                    if self.tried.len() >= MAX_UNSENT {
+                    if self.tried.len() >= MAX_UNSENT_UPSTREAMS {
                         return Err(last);
                     }
                 }
@@ -279,49 +287,52 @@
         }
     }
 
-    /// Makes an attempt. One whose first byte takes far longer than estimated is
-    /// given up for another, where the request may run twice and the budget has
-    /// a retry, which is taken off.
-    async fn attempt_patiently(
+    /// Makes an attempt. If its first byte takes far longer than estimated, the attempt is
+    /// abandoned for another one, provided that the request may run twice and the retry budget
+    /// allows it. The retry is then taken from the budget.
+    async fn attempt_with_timeout(
         &self,
         account: &mut Account,
         plan: &Plan,
-        is_paid: &mut bool,
+        is_retry_spent: &mut bool,
     ) -> Tried {
         let route = &self.target().route;
         let attempts = account.attempts;
         let may_switch = || {
             let has_attempts = attempts + 1 < route.max_attempts;
-            route.kind.is_repeatable() && has_attempts && self.key_in_force().is_ok()
+            route.kind.is_repeatable() && has_attempts && self.validate_key().is_ok()
         };
-        let patience = route.target_latency.mul_f64(PATIENCE).max(MIN_PATIENCE);
+        let first_byte_timeout = route
+            .target_latency
+            .mul_f64(FIRST_BYTE_TIMEOUT_FACTOR)
+            .max(MIN_FIRST_BYTE_TIMEOUT);
         {
             let need = self.need(account);
             let tried = attempt(self, account, plan, &need);
             tokio::pin!(tried);
-            match tokio::time::timeout(patience, tried.as_mut()).await {
+            match tokio::time::timeout(first_byte_timeout, tried.as_mut()).await {
                 Ok(tried) => return tried,
-                // Another one's answer must still come before this process ends.
-                Err(_) if !may_switch() || !self.could_end() || !self.spend_retry() => {
+                // Another attempt must still be answered before this process exits.
+                Err(_) if !may_switch() || !self.can_finish() || !self.spend_retry() => {
                     return tried.await;
                 }
-                // What is dropped here is cancelled at the upstream.
+                // Dropping the attempt cancels it at the upstream.
                 Err(_) => {}
             }
         }
-        *is_paid = true;
+        *is_retry_spent = true;
         unanswered::watch_timed_out(self, account);
         account.attempts += 1;
         attempt::failed(&self.gateway, plan, attempt::LOST_WEIGHT);
         let why = "no first byte in time";
-        attempt::tell_failed(account, "unknown", why, patience);
+        attempt::tell_failed(account, "unknown", why, first_byte_timeout);
         Tried::Unknown(why.to_owned())
     }
 
-    /// Whether another upstream may be sent the request; takes it off the budget.
-    pub fn may_retry(&self, account: &Account) -> bool {
+    /// Whether the request may be sent to another upstream; if so, takes a retry from the budget.
+    pub fn acquire_retry(&self, account: &Account) -> bool {
         account.attempts < self.target().route.max_attempts
-            && self.could_end()
+            && self.can_finish()
             && self.spend_retry()
     }
 
@@ -329,12 +340,12 @@
         self.gateway.spend_retry(self.service)
     }
 
-    /// Sends a broken stream's rest to another upstream; none if it may not.
-    pub async fn retry(&mut self, account: &mut Account) -> Option<Tried> {
-        // The one that broke off has most likely crashed.
+    /// Requests the rest of a broken stream from another upstream; `None` if that isn't allowed.
+    pub async fn resume_stream(&mut self, account: &mut Account) -> Option<Tried> {
+        // The upstream that broke off has probably crashed.
         self.tried.extend(account.tried.map(|sent| sent.key));
         let admission = crashes::admit(self, account).await;
-        if matches!(admission, Admission::Rejected(_)) || !self.may_retry(account) {
+        if matches!(admission, Admission::Rejected(_)) || !self.acquire_retry(account) {
             return None;
         }
         let need = Need {
@@ -344,15 +355,15 @@
         let Choice::Send(plan) = choose(&self.gateway, &need) else {
             return None;
         };
-        // The client may go on elsewhere at once, in place of being cut off again.
-        if !self.ends_in_time(account, plan.inputs.estimate_ms) {
+        // The client can resume at another host at once, instead of being cut off again.
+        if !self.finishes_in_time(account, plan.inputs.estimate_ms) {
             return None;
         }
-        let over = self.time_over(Answer::Awaited);
+        let timeout = self.wait_for_timeout(AnswerProgress::Pending);
         tokio::select! {
             biased;
             tried = attempt(self, account, &plan, &need) => Some(tried),
-            _ = over => None,
+            _ = timeout => None,
         }
     }
 }
