--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -3,7 +3,7 @@
 use crate::answer::{Outcome, Reason};
 use crate::duty::usage::Begin;
 use crate::fleet::UpstreamKey;
-use crate::fleet::speed::{Task, Work};
+use crate::fleet::latency::{Backlog, Task};
 use crate::quota::Grant;
 use crate::serve::Outlook;
 use crate::state::{Gateway, RunningGuard};
@@ -17,7 +17,7 @@
 
 /// What decided the choice of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Inputs {
+pub struct ChoiceInputs {
     /// Estimated time to the first byte.
     pub estimate_ms: f64,
     /// Of it, what the engine takes that generates from another's KV cache.
@@ -27,11 +27,11 @@
     /// Prompt tokens that were expected not to be cached.
     pub uncached: u32,
     /// What the engine had to read until the first byte.
-    pub work: Work,
+    pub backlog: Backlog,
     /// Requests that ran there, of all processes.
     pub running: u32,
     /// Of these, long answers.
-    pub long: u32,
+    pub long_answers: u32,
     /// How much slower than its kind the upstream was.
     pub slowdown: f64,
     /// What it was to do first.
@@ -53,11 +53,11 @@
     gateway: Arc<Gateway>,
     _running: RunningGuard,
     /// When the request came.
-    pub since: Instant,
+    pub received_at: Instant,
     /// Id of the client's attempt.
     pub id: String,
     /// Version of the configuration that decided.
-    pub config: u64,
+    pub config_version: u64,
     /// Name of the tenant.
     pub tenant: Option<Arc<str>>,
     /// Version of the configuration that took its key away, if one did.
@@ -69,7 +69,7 @@
     /// Upstream that was tried last.
     pub upstream: Option<String>,
     /// That upstream's start.
-    pub tried: Option<SentTo>,
+    pub last_sent_to: Option<SentTo>,
     /// Requests that upstreams were sent.
     pub attempts: u32,
     /// Whether an engine was sent its prompt to read it only.
@@ -79,7 +79,7 @@
     /// Whether it has begun to run, as its tenant's usage counts it.
     pub begin: Begin,
     /// What decided the last choice.
-    pub inputs: Option<Inputs>,
+    pub inputs: Option<ChoiceInputs>,
     /// How long before the request came the stop signal did; none if it came later.
     pub stopping_for: Option<Duration>,
     /// Tokens of the answer that were expected; none if the request isn't for an engine.
@@ -90,15 +90,15 @@
     /// Most tokens of the answer; none if the request isn't for an engine.
     pub max_output_tokens: Option<u32>,
     /// What it asks for and who asks, if that was needed.
-    pub work: Option<Fingerprint>,
+    pub fingerprint: Option<Fingerprint>,
     /// Units taken from its tenant's quota.
     pub grant: Option<Grant>,
     /// The trial that it is, of work that is held back.
     pub trial: Option<usize>,
     /// Time until its prompt was read by an engine that only reads.
-    pub read: Option<Duration>,
+    pub prefill_after: Option<Duration>,
     /// Time to the first byte.
-    pub first: Option<Duration>,
+    pub first_byte_after: Option<Duration>,
     /// Status that was sent, once one was.
     pub status: u16,
     is_closed: bool,
@@ -110,15 +110,15 @@
         Self {
             _running: gateway.begin(),
             gateway: gateway.clone(),
-            since,
+            received_at: since,
             id: id.to_owned(),
-            config: 0,
+            config_version: 0,
             tenant: None,
             key_removed_by: None,
             route: None,
             service: None,
             upstream: None,
-            tried: None,
+            last_sent_to: None,
             attempts: 0,
             was_prefilled: false,
             may_have_run: false,
@@ -128,11 +128,11 @@
             expected_tokens: None,
             outlook: None,
             max_output_tokens: None,
-            work: None,
+            fingerprint: None,
             grant: None,
             trial: None,
-            read: None,
-            first: None,
+            prefill_after: None,
+            first_byte_after: None,
             status: 0,
             is_closed: false,
         }
@@ -147,7 +147,7 @@
     }
 
     /// Counts the request once in its tenant's usage, as one that began at a time.
-    pub fn has_begun(&mut self, at: Instant) {
+    pub fn count_as_begun(&mut self, at: Instant) {
         let before = std::mem::replace(&mut self.begin, Begin::Counted);
         if let Some(tenant) = self.tenant.as_ref().filter(|_| before != Begin::Counted) {
             self.gateway.usage.note(at, tenant);
@@ -160,25 +160,25 @@
             return;
         }
         if let Begin::Sent(at) = self.begin {
-            self.has_begun(at);
+            self.count_as_begun(at);
         }
         if let Some(mut grant) = self.grant.take()
             && (self.may_have_run || outcome != Outcome::NotRun)
         {
             grant.commit();
         }
-        let total = self.since.elapsed();
+        let total = self.received_at.elapsed();
         let reason = reason.map(Reason::name);
         let millis = |d: Duration| d.as_millis() as u64;
         emit(&Event::Answered {
             request: &self.id,
-            work: self.work.map(|work| work.to_string()),
+            work: self.fingerprint.map(|work| work.to_string()),
             route: self.route.as_deref(),
             service: self.service.as_deref(),
             under: &UnderConfig {
                 tenant: self.tenant.as_deref(),
                 key_removed_by: self.key_removed_by,
-                config: self.config,
+                config: self.config_version,
                 config_ms: millis(self.gateway.config_age()),
             },
             registry_ms: millis(self.gateway.registry_age()),
@@ -191,10 +191,10 @@
             generator_ms: self.inputs.map(|i| i.generator_ms as u64),
             admit_ms: self.inputs.map(|i| i.admit_ms as u64),
             uncached: self.inputs.map(|i| i.uncached),
-            prompts_ahead: self.inputs.map(|i| i.work.prompts as u32),
+            prompts_ahead: self.inputs.map(|i| i.backlog.prompts as u32),
             running_ahead: self.inputs.map(|i| i.running),
-            long_ahead: self.inputs.map(|i| i.long),
-            tokens_ahead: self.inputs.map(|i| i.work.tokens as u32 - i.uncached),
+            long_ahead: self.inputs.map(|i| i.long_answers),
+            tokens_ahead: self.inputs.map(|i| i.backlog.tokens as u32 - i.uncached),
             slowdown: self.inputs.map(|i| i.slowdown),
             max_tokens: self.max_output_tokens,
             expected_tokens: self.expected_tokens,
@@ -202,24 +202,24 @@
             process_left_ms: self.outlook.map(|o| millis(o.process_left)),
             stopping_ms: self.stopping_for.map(millis),
             is_prefill: self.inputs.map(|i| i.task == Task::Prefill),
-            read_ms: self.read.map(millis),
-            first_ms: self.first.map(millis),
+            read_ms: self.prefill_after.map(millis),
+            first_ms: self.first_byte_after.map(millis),
             total_ms: millis(total),
         });
         self.count(outcome, reason, total);
     }
 
     fn count(&self, outcome: Outcome, reason: Option<&str>, total: Duration) {
-        let who = Labels {
+        let labels = Labels {
             service: self.service.as_deref().unwrap_or(NONE),
             class: self.route.as_deref().unwrap_or(NONE),
             tenant: self.tenant.as_deref().unwrap_or(NONE),
         };
         let metrics = &self.gateway.metrics;
-        metrics.count(who, outcome.name(), reason.unwrap_or(NONE));
-        metrics.time(who, Seconds::Total, total.as_secs_f64());
-        if let Some(first) = self.first {
-            metrics.time(who, Seconds::First, first.as_secs_f64());
+        metrics.count(labels, outcome.name(), reason.unwrap_or(NONE));
+        metrics.time(labels, Seconds::Total, total.as_secs_f64());
+        if let Some(first) = self.first_byte_after {
+            metrics.time(labels, Seconds::First, first.as_secs_f64());
         }
     }
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -166,7 +166,7 @@
 
 /// Builds an answer of the system's own. Only a request that hasn't run may be
 /// asked to come back.
-pub fn own(
+pub fn gateway_response(
     id: &str,
     outcome: Outcome,
     reason: Reason,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -4,11 +4,11 @@
 
 use crate::account::Account;
 use crate::answer::Reason;
-use crate::choose::{Need, Plan};
+use crate::choose::{Plan, Requirements};
 use crate::crashes::broken::connection_broke;
 use crate::crashes::unanswered;
 use crate::duty::usage::Begin;
-use crate::fleet::speed::Task;
+use crate::fleet::latency::Task;
 use crate::serve::Call;
 use crate::state::{Gateway, LoadGuard};
 use bytes::Bytes;
@@ -27,25 +27,25 @@
 
 /// Largest plain answer that is gathered before it is passed on. A larger one is
 /// passed on as it comes.
-const MAX_GATHERED: u64 = 256 << 10;
+const MAX_BUFFERED_BYTES: u64 = 256 << 10;
 /// Part of the time that an upstream keeps idle connections within which one is
 /// used again. A request on one that is just being closed may be lost, and
 /// nobody can tell whether it has run.
-const IDLE_SHARE: f64 = 0.5;
+const IDLE_FRACTION: f64 = 0.5;
 /// The same for an upstream that names no time.
-const IDLE_UNNAMED: Duration = Duration::from_millis(400);
+const DEFAULT_IDLE: Duration = Duration::from_millis(400);
 /// Ranks of requests at an engine, by the length of their answers.
 const LONG_PRIORITY: u8 = 2;
 const SHORT_PRIORITY: u8 = 4;
 /// Weight of a failure of the connection in an upstream's health, and of an
 /// answer that says that the upstream failed: some services answer one request
 /// in seven so, and must not be suspended for it.
-pub const LOST_WEIGHT: f64 = 0.25;
-const ERROR_WEIGHT: f64 = 0.06;
+pub const CONNECTION_FAILURE_WEIGHT: f64 = 0.25;
+const ERROR_ANSWER_WEIGHT: f64 = 0.06;
 
 /// An answer whose first bytes are there.
 #[derive(Debug)]
-pub struct Started {
+pub struct StartedAnswer {
     /// Status.
     pub status: StatusCode,
     /// Headers as the worker sent them.
@@ -53,23 +53,23 @@
     /// The first bytes of the body; none if it is empty.
     pub first: Option<Bytes>,
     /// The rest of the body; none if `first` is all.
-    pub rest: Option<Rest>,
+    pub rest: Option<BodyRest>,
     /// Load at the upstream, until the answer is through.
     pub load: LoadGuard,
 }
 
 /// The rest of an answer's body, with the connection it comes on.
 #[derive(Debug)]
-pub struct Rest {
+pub struct BodyRest {
     /// The body.
     pub body: Incoming,
     conn: Returned,
     idle: Duration,
 }
 
-impl Rest {
+impl BodyRest {
     /// Gives the connection back. Only after the body's end.
-    pub fn done(self) {
+    pub fn finish(self) {
         drop(self.body);
         self.conn.keep(Some(self.idle));
     }
@@ -77,9 +77,9 @@
 
 /// What came of an attempt.
 #[derive(Debug)]
-pub enum Tried {
+pub enum AttemptResult {
     /// An answer has begun.
-    Started(Box<Started>),
+    Started(Box<StartedAnswer>),
     /// The request hasn't run there, and won't.
     NotRun(NotRun),
     /// The request may have run there.
@@ -94,7 +94,7 @@
     /// The upstream says so.
     Rejected,
     /// The prompt wasn't read, or its KV cache can't be had.
-    NoPrefill,
+    PrefillFailed,
     /// The prompt was read, but the process ends before an answer would.
     NoTime,
     /// It may be sent to none any more.
@@ -106,7 +106,7 @@
         match self {
             Self::NotSent => "not sent",
             Self::Rejected => "rejected",
-            Self::NoPrefill => "prompt not read",
+            Self::PrefillFailed => "prompt not read",
             Self::NoTime => "no time left for the answer",
             Self::Held(why) => why.name(),
         }
@@ -114,27 +114,32 @@
 }
 
 /// Sends a request by a plan. Dropped before its end, it is cancelled there.
-pub async fn attempt(call: &Call, account: &mut Account, plan: &Plan, need: &Need<'_>) -> Tried {
+pub async fn attempt(
+    call: &Call,
+    account: &mut Account,
+    plan: &Plan,
+    need: &Requirements<'_>,
+) -> AttemptResult {
     let since = Instant::now();
     account.upstream = Some(plan.instance.clone());
-    account.tried = Some(plan.sent_to());
+    account.last_sent_to = Some(plan.sent_to());
     account.inputs = call.is_engine.then_some(plan.inputs);
     let tried = if plan.task == Task::Prefill {
         attempt_split(call, account, plan, need).await
     } else {
-        attempt_at(call, account, plan, Step::Run).await
+        send_to(call, account, plan, Step::Run).await
     };
     let (outcome, why) = match &tried {
-        Tried::Started(_) => return tried,
-        Tried::NotRun(why) => ("not_run", why.name()),
-        Tried::Unknown(why) => ("unknown", why.as_str()),
+        AttemptResult::Started(_) => return tried,
+        AttemptResult::NotRun(why) => ("not_run", why.name()),
+        AttemptResult::Unknown(why) => ("unknown", why.as_str()),
     };
-    tell_failed(account, outcome, why, since.elapsed());
+    log_failed_attempt(account, outcome, why, since.elapsed());
     tried
 }
 
 /// Logs an attempt that didn't bring the answer.
-pub fn tell_failed(account: &Account, outcome: &str, why: &str, took: Duration) {
+pub fn log_failed_attempt(account: &Account, outcome: &str, why: &str, took: Duration) {
     emit(&Event::AttemptFailed {
         request: &account.id,
         attempt: account.attempts,
@@ -146,56 +151,61 @@
 }
 
 /// Notes that an engine reads a request's prompt.
-fn note_parts(call: &Call, plan: &Plan) {
+fn record_parts(call: &Call, plan: &Plan) {
     let parts = &call.incoming.parts;
     call.gateway
         .fleet()
-        .note_parts(plan.key, parts, Instant::now());
+        .record_parts(plan.key, parts, Instant::now());
 }
 
 /// Sends the request itself to an upstream.
-pub async fn attempt_at(call: &Call, account: &mut Account, plan: &Plan, step: Step<'_>) -> Tried {
+pub async fn send_to(
+    call: &Call,
+    account: &mut Account,
+    plan: &Plan,
+    step: Step<'_>,
+) -> AttemptResult {
     let gateway = &call.gateway;
     let load = gateway.add_load(plan.key, plan.inputs.uncached, plan.is_long);
     if call.is_engine && plan.task == Task::Generate {
-        note_parts(call, plan);
+        record_parts(call, plan);
     }
     let since = Instant::now();
-    let Some(req) = request(call, plan, step) else {
-        return Tried::NotRun(NotRun::NotSent);
+    let Some(req) = build_request(call, plan, step) else {
+        return AttemptResult::NotRun(NotRun::NotSent);
     };
     let had_run = std::mem::replace(&mut account.may_have_run, true);
     let begin = account.begin;
-    note_sent(call, account, since);
+    record_sent(call, account, since);
     let watch = unanswered::watch_trial(call, account);
     let answer = match plan.pool.send_once(req).await {
         Ok(answer) => answer,
         Err(CallError::NotSent(_)) => {
             watch.cancel();
             (account.may_have_run, account.begin) = (had_run, begin);
-            failed(gateway, plan, LOST_WEIGHT);
-            return Tried::NotRun(NotRun::NotSent);
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            return AttemptResult::NotRun(NotRun::NotSent);
         }
         Err(CallError::MaybeSent(why)) => {
             account.attempts += 1;
             connection_broke(call, account);
-            failed(gateway, plan, LOST_WEIGHT);
-            return Tried::Unknown(why);
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            return AttemptResult::Unknown(why);
         }
     };
     account.attempts += 1;
     let (res, conn) = answer.split();
     let (head, body) = res.into_parts();
-    let said = header::from_worker(&head.headers, &call.incoming.id);
-    if !said.is_ours {
-        failed(gateway, plan, LOST_WEIGHT);
-        return Tried::Unknown(format!("{} without this request's id", head.status));
+    let from_worker = header::from_worker(&head.headers, &call.incoming.id);
+    if !from_worker.is_ours {
+        record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+        return AttemptResult::Unknown(format!("{} without this request's id", head.status));
     }
     let idle = idle_time(&head.headers);
     if head.status != StatusCode::MISDIRECTED_REQUEST {
-        lives(gateway, plan, since);
+        record_alive(gateway, plan, since);
     }
-    if said.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
+    if from_worker.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
         // NB: the body of a rejection is short; the connection is kept if it
         // is already there.
         if body.is_end_stream() {
@@ -203,33 +213,33 @@
         }
         watch.cancel();
         (account.may_have_run, account.begin) = (had_run, begin);
-        failed(gateway, plan, LOST_WEIGHT);
-        return Tried::NotRun(NotRun::Rejected);
+        record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+        return AttemptResult::NotRun(NotRun::Rejected);
     }
-    let is_bad = !said.is_signed || head.headers.contains_key(CONTENT_ENCODING);
+    let is_bad = !from_worker.is_signed || head.headers.contains_key(CONTENT_ENCODING);
     if head.status.is_success() && is_bad {
-        failed(gateway, plan, LOST_WEIGHT);
-        return Tried::Unknown("a success without a signature".into());
+        record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+        return AttemptResult::Unknown("a success without a signature".into());
     }
-    let rest = Rest { body, conn, idle };
+    let rest = BodyRest { body, conn, idle };
     let read = read_first(call, rest).await;
     let (first, rest) = match read {
         Ok(read) => read,
         Err(why) => {
             connection_broke(call, account);
-            failed(gateway, plan, LOST_WEIGHT);
-            return Tried::Unknown(why);
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            return AttemptResult::Unknown(why);
         }
     };
     if head.status.is_server_error() {
-        failed(gateway, plan, ERROR_WEIGHT);
+        record_failure(gateway, plan, ERROR_ANSWER_WEIGHT);
     } else {
-        measured(gateway, call, plan, since.elapsed());
+        record_first_byte(gateway, call, plan, since.elapsed());
     }
     let mut load = load;
     load.has_begun();
-    note_begun(call, account, since);
-    Tried::Started(Box::new(Started {
+    record_begun(call, account, since);
+    AttemptResult::Started(Box::new(StartedAnswer {
         status: head.status,
         headers: head.headers,
         first,
@@ -240,25 +250,28 @@
 
 /// Notes that an upstream was sent a request: a plain one begins there about then, also if
 /// nobody hears its answer. A stream's first event shows that it has begun.
-fn note_sent(call: &Call, account: &mut Account, at: Instant) {
+fn record_sent(call: &Call, account: &mut Account, at: Instant) {
     if !call.target().route.kind.is_stream() && account.begin == Begin::NotSent {
         account.begin = Begin::Sent(at);
     }
 }
 
 /// Notes that an upstream's answer has begun.
-fn note_begun(call: &Call, account: &mut Account, sent_at: Instant) {
+fn record_begun(call: &Call, account: &mut Account, sent_at: Instant) {
     let at = match (call.target().route.kind.is_stream(), account.begin) {
         (true, _) => Instant::now(),
         (false, Begin::Sent(first)) => first,
         (false, _) => sent_at,
     };
-    account.has_begun(at);
+    account.count_as_begun(at);
 }
 
 /// Reads the beginning of a stream, or the whole of a plain answer.
-async fn read_first(call: &Call, mut rest: Rest) -> Result<(Option<Bytes>, Option<Rest>), String> {
-    let is_large = rest.body.size_hint().lower() > MAX_GATHERED;
+async fn read_first(
+    call: &Call,
+    mut rest: BodyRest,
+) -> Result<(Option<Bytes>, Option<BodyRest>), String> {
+    let is_large = rest.body.size_hint().lower() > MAX_BUFFERED_BYTES;
     if !call.target().route.kind.is_stream() && !is_large {
         let whole = rest.body.collect().await.map_err(|e| e.to_string())?;
         rest.conn.keep(Some(rest.idle));
@@ -267,7 +280,7 @@
     loop {
         match rest.body.frame().await {
             None => {
-                rest.done();
+                rest.finish();
                 return Ok((None, None));
             }
             Some(Err(e)) => return Err(e.to_string()),
@@ -296,14 +309,14 @@
 }
 
 fn idle_time(headers: &HeaderMap) -> Duration {
-    header::idle_timeout(headers).map_or(IDLE_UNNAMED, |t| t.mul_f64(IDLE_SHARE))
+    header::idle_timeout(headers).map_or(DEFAULT_IDLE, |t| t.mul_f64(IDLE_FRACTION))
 }
 
 /// Builds the request for an upstream; none if it can't be built.
-fn request(call: &Call, plan: &Plan, step: Step<'_>) -> Option<Request<Body>> {
+fn build_request(call: &Call, plan: &Plan, step: Step<'_>) -> Option<Request<Body>> {
     let is_engine = call.is_engine;
     let left = call.incoming.deadline.map(|_| call.left());
-    let say = ToWorker {
+    let to_worker = ToWorker {
         instance: &plan.instance,
         deadline: left.or_else(|| Some(call.left())),
         rank: is_engine.then(|| engine_priority(call, plan)),
@@ -315,12 +328,12 @@
     let mut req = Request::new(full(call.body.clone()));
     *req.method_mut() = call.method.clone();
     *req.uri_mut() = call.path.clone();
-    *req.headers_mut() = header::to_worker(&call.headers, &say);
+    *req.headers_mut() = header::to_worker(&call.headers, &to_worker);
     Some(req)
 }
 
 /// Notes an answer's first byte in what is known of the upstream.
-fn measured(gateway: &Arc<Gateway>, call: &Call, plan: &Plan, took: Duration) {
+fn record_first_byte(gateway: &Arc<Gateway>, call: &Call, plan: &Plan, took: Duration) {
     let ms = took.as_secs_f64() * 1000.0;
     let mut fleet = gateway.fleet();
     let Some(upstream) = fleet.get_mut(plan.key) else {
@@ -332,23 +345,23 @@
     }
     let service = upstream.service;
     let slowdown = upstream.slowdown.factor();
-    let speed = fleet.speed_mut(service, plan.task);
-    let estimate = speed.estimate(plan.inputs.work);
-    speed.sample(plan.inputs.work, ms / slowdown);
+    let speed = fleet.latency_model_mut(service, plan.task);
+    let estimate = speed.estimate(plan.inputs.backlog);
+    speed.add_sample(plan.inputs.backlog, ms / slowdown);
     if let Some(upstream) = fleet.get_mut(plan.key) {
-        upstream.slowdown.sample(ms, estimate);
+        upstream.slowdown.add_sample(ms, estimate);
     }
 }
 
 /// Notes that an upstream has answered a request that was sent at a time.
-fn lives(gateway: &Arc<Gateway>, plan: &Plan, sent_at: Instant) {
+fn record_alive(gateway: &Arc<Gateway>, plan: &Plan, sent_at: Instant) {
     if let Some(upstream) = gateway.fleet().get_mut(plan.key) {
-        upstream.lived_at = upstream.lived_at.max(Some(sent_at));
+        upstream.alive_at = upstream.alive_at.max(Some(sent_at));
     }
 }
 
 /// Notes a failure of an upstream.
-pub fn failed(gateway: &Arc<Gateway>, plan: &Plan, weight: f64) {
+pub fn record_failure(gateway: &Arc<Gateway>, plan: &Plan, weight: f64) {
     let mut fleet = gateway.fleet();
     let Some(upstream) = fleet.get_mut(plan.key) else {
         return;
@@ -363,7 +376,7 @@
     }
 }
 
-fn tell_bad(call: &Call, plan: &Plan, why: String) {
+fn log_bad_answer(call: &Call, plan: &Plan, why: String) {
     emit(&Event::BadAnswer {
         request: call.incoming.id.clone(),
         upstream: &plan.instance,
--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -1,11 +1,11 @@
 //! A prompt that is read at one engine, and whose answer another generates.
 
 use super::{
-    LOST_WEIGHT, NotRun, Tried, attempt_at, failed, idle_time, lives, measured, note_parts,
-    request, tell_bad, tell_failed,
+    AttemptResult, CONNECTION_FAILURE_WEIGHT, NotRun, build_request, idle_time, log_bad_answer,
+    log_failed_attempt, record_alive, record_failure, record_first_byte, record_parts, send_to,
 };
 use crate::account::Account;
-use crate::choose::{Choice, Need, Plan, choose_generator};
+use crate::choose::{Choice, Plan, Requirements, choose_generator};
 use crate::crashes::broken::connection_broke;
 use crate::crashes::{self, Admission};
 use crate::serve::Call;
@@ -20,88 +20,88 @@
 const MAX_PREFILL_ANSWER: usize = 4096;
 /// Engines that are asked in turn to generate from one KV cache: in the first
 /// second after a crash a third of the generators may refuse connections.
-const MAX_TAKERS: usize = 3;
+const MAX_GENERATORS: usize = 3;
 
 /// Has the prompt read at one engine and the answer generated at another.
 pub(super) async fn attempt_split(
     call: &Call,
     account: &mut Account,
     plan: &Plan,
-    need: &Need<'_>,
-) -> Tried {
+    need: &Requirements<'_>,
+) -> AttemptResult {
     // The first time that a prompt is read is free, any other is a retry.
     let is_again = std::mem::replace(&mut account.was_prefilled, true);
     if is_again && !call.gateway.spend_retry(need.service) {
-        return Tried::NotRun(NotRun::NoPrefill);
+        return AttemptResult::NotRun(NotRun::PrefillFailed);
     }
     let Some(prefilled) = prefill(call, account, plan).await else {
-        return Tried::NotRun(NotRun::NoPrefill);
+        return AttemptResult::NotRun(NotRun::PrefillFailed);
     };
-    account.read = Some(account.since.elapsed());
-    let tried = take(call, account, plan, need, &prefilled).await;
-    if matches!(tried, Tried::NotRun(_)) && !has_started_again(call, plan) {
-        free(plan.pool.clone(), &prefilled);
+    account.prefill_after = Some(account.received_at.elapsed());
+    let tried = generate_from_cache(call, account, plan, need, &prefilled).await;
+    if matches!(tried, AttemptResult::NotRun(_)) && !has_restarted(call, plan) {
+        release_cache(plan.pool.clone(), &prefilled);
     }
     tried
 }
 
 /// Whether the engine that read a prompt has started again since. What it kept is gone,
 /// and the new start may have given the same handle to another prompt.
-fn has_started_again(call: &Call, plan: &Plan) -> bool {
+fn has_restarted(call: &Call, plan: &Plan) -> bool {
     let fleet = call.gateway.fleet();
-    fleet.has_started_again(plan.key, &plan.instance)
+    fleet.has_restarted(plan.key, &plan.instance)
 }
 
 /// Has the answer generated from a KV cache. An engine that doesn't take it, as one
 /// that has just crashed, is passed over for the next: the prompt stays read.
-async fn take(
+async fn generate_from_cache(
     call: &Call,
     account: &mut Account,
     plan: &Plan,
-    need: &Need<'_>,
+    need: &Requirements<'_>,
     prefilled: &Prefilled,
-) -> Tried {
+) -> AttemptResult {
     let source = prefilled.source(plan.addr);
-    let mut passed_over = need.tried.to_vec();
-    let mut last = Tried::NotRun(NotRun::NoPrefill);
+    let mut excluded = need.tried.to_vec();
+    let mut last = AttemptResult::NotRun(NotRun::PrefillFailed);
     let mut was_rejected = false;
-    for _ in 0..MAX_TAKERS {
-        if has_started_again(call, plan) {
+    for _ in 0..MAX_GENERATORS {
+        if has_restarted(call, plan) {
             break;
         }
-        let need = Need {
-            tried: &passed_over,
+        let need = Requirements {
+            tried: &excluded,
             ..*need
         };
-        let Choice::Send(taker) = choose_generator(&call.gateway, &need, plan.key) else {
+        let Choice::Send(generator) = choose_generator(&call.gateway, &need, plan.key) else {
             break;
         };
         if let Admission::Held(why) = crashes::admit(call, account).await {
-            return Tried::NotRun(NotRun::Held(why));
+            return AttemptResult::NotRun(NotRun::Held(why));
         }
         // A rejected send counts against the route's attempts and the budget.
         if was_rejected && !call.may_retry(account) {
             break;
         }
-        if !call.ends_in_time(account, taker.inputs.estimate_ms) {
-            return Tried::NotRun(NotRun::NoTime);
+        if !call.ends_in_time(account, generator.inputs.estimate_ms) {
+            return AttemptResult::NotRun(NotRun::NoTime);
         }
-        account.upstream = Some(taker.instance.clone());
-        account.tried = Some(taker.sent_to());
+        account.upstream = Some(generator.instance.clone());
+        account.last_sent_to = Some(generator.sent_to());
         let since = Instant::now();
-        last = attempt_at(call, account, &taker, Step::Take(&source)).await;
-        let Tried::NotRun(why) = last else {
+        last = send_to(call, account, &generator, Step::Take(&source)).await;
+        let AttemptResult::NotRun(why) = last else {
             break;
         };
         was_rejected = why == NotRun::Rejected;
-        tell_failed(account, "not_run", why.name(), since.elapsed());
-        passed_over.push(taker.key);
+        log_failed_attempt(account, "not_run", why.name(), since.elapsed());
+        excluded.push(generator.key);
     }
     last
 }
 
 /// Frees a KV cache that nobody will take. It lapses by itself if this fails.
-fn free(pool: Pool, prefilled: &Prefilled) {
+fn release_cache(pool: Pool, prefilled: &Prefilled) {
     const TIMEOUT: Duration = Duration::from_millis(500);
     let req = Request::builder()
         .method(Method::DELETE)
@@ -118,17 +118,17 @@
 async fn prefill(call: &Call, account: &mut Account, plan: &Plan) -> Option<Prefilled> {
     let gateway = &call.gateway;
     let mut load = gateway.add_load(plan.key, plan.inputs.uncached, false);
-    note_parts(call, plan);
+    record_parts(call, plan);
     let since = Instant::now();
-    let req = request(call, plan, Step::Prefill)?;
+    let req = build_request(call, plan, Step::Prefill)?;
     let answer = match plan.pool.send_once(req).await {
         Ok(answer) => answer,
         Err(e) => {
             if let CallError::MaybeSent(_) = e {
                 connection_broke(call, account);
             }
-            failed(gateway, plan, LOST_WEIGHT);
-            tell_bad(call, plan, e.to_string());
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            log_bad_answer(call, plan, e.to_string());
             return None;
         }
     };
@@ -137,8 +137,8 @@
     if head.status != StatusCode::OK
         || !header::from_worker(&head.headers, &call.incoming.id).is_ours
     {
-        failed(gateway, plan, LOST_WEIGHT);
-        tell_bad(call, plan, format!("prefill answered with {}", head.status));
+        record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+        log_bad_answer(call, plan, format!("prefill answered with {}", head.status));
         return None;
     }
     let body = Limited::new(body, MAX_PREFILL_ANSWER).collect().await;
@@ -152,14 +152,14 @@
     load.has_begun();
     match parsed {
         Ok(prefilled) => {
-            lives(gateway, plan, since);
+            record_alive(gateway, plan, since);
             conn.keep(Some(idle_time(&head.headers)));
-            measured(gateway, call, plan, since.elapsed());
+            record_first_byte(gateway, call, plan, since.elapsed());
             Some(prefilled)
         }
         Err(why) => {
-            failed(gateway, plan, LOST_WEIGHT);
-            tell_bad(call, plan, why);
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            log_bad_answer(call, plan, why);
             None
         }
     }
--- a/crates/gateway/src/choose/home.rs
+++ b/crates/gateway/src/choose/home.rs
@@ -5,8 +5,10 @@
 //! part over the service's engines, weighted by what each can read. A second home
 //! takes prompts whose first has a queue, and fetches the shared parts from there.
 
-use super::{Choice, Need, Plan, best_generator, candidates, generates, plan, retry_after};
-use crate::fleet::speed::Task;
+use super::{
+    Choice, Plan, Requirements, best_generator, can_generate, candidates, plan, retry_after,
+};
+use crate::fleet::latency::Task;
 use crate::fleet::{Fleet, ServiceKey, Upstream, UpstreamKey};
 use platform::{PromptPart, Stage};
 use std::net::SocketAddr;
@@ -20,35 +22,35 @@
 /// Part of the latency target that a prompt may wait before its own reading, however
 /// long that takes: the largest prompts of a class are late even at an idle engine,
 /// and a late answer is better for their callers than none.
-const LATE_WAIT_SHARE: f64 = 0.25;
+const MAX_WAIT_FRACTION: f64 = 0.25;
 /// Engines at which a prompt may be read: its home, and another when that has a queue.
 /// A second one earns 0.03 more of what is owed where reading binds. With three, or at
 /// any reader, more is read again than the shorter queues gain.
-const HOMES: usize = 2;
+const MAX_HOMES: usize = 2;
 
 /// The prompt's home, if it hasn't too much to do.
-pub(super) fn choose_home(fleet: &Fleet, need: &Need<'_>, now: Instant) -> Choice {
-    let can_split = candidates(fleet, need, now).any(|(_, u)| generates(u));
-    let at_readers = can_split && readers_suffice(fleet, need.service);
-    let usable = |u: &Upstream| match generates(u) {
-        true => !at_readers,
+pub(super) fn choose_home(fleet: &Fleet, need: &Requirements<'_>, now: Instant) -> Choice {
+    let can_split = candidates(fleet, need, now).any(|(_, u)| can_generate(u));
+    let at_prefill_only = can_split && has_enough_prefill_engines(fleet, need.service);
+    let usable = |u: &Upstream| match can_generate(u) {
+        true => !at_prefill_only,
         false => can_split,
     };
     let usable: Vec<_> = candidates(fleet, need, now)
         .filter(|(_, u)| usable(u))
         .collect();
-    let mut best: Option<Reading> = None;
+    let mut best: Option<Candidate> = None;
     let homes = homes(need.parts, &usable);
     let first = homes.first().map(|(_, u)| *u);
-    for home in homes.into_iter().take(HOMES) {
+    for home in homes.into_iter().take(MAX_HOMES) {
         let holder = first.filter(|f| f.hash != home.1.hash);
-        let reading = Reading::at(fleet, need, home, holder, now);
-        let is_worth_while = best.as_ref().is_none_or(|b| reading.is_worth_while(b));
-        if is_worth_while {
-            best = Some(reading);
+        let candidate = Candidate::evaluate(fleet, need, home, holder, now);
+        let is_better = best.as_ref().is_none_or(|b| candidate.is_better_than(b));
+        if is_better {
+            best = Some(candidate);
         }
     }
-    let Some(Reading { plan, .. }) = best else {
+    let Some(Candidate { plan, .. }) = best else {
         return Choice::NoUpstream;
     };
     if plan.inputs.estimate_ms <= plan.inputs.admit_ms {
@@ -58,7 +60,7 @@
 }
 
 /// A prompt read at one of its homes.
-struct Reading {
+struct Candidate {
     plan: Plan,
     /// Its estimate, and the time for what must be read there anew, which others
     /// wait for.
@@ -67,33 +69,36 @@
     generator_ms: f64,
 }
 
-impl Reading {
+impl Candidate {
     /// A prompt at a home. `holder` is its first home if this is another one.
-    fn at(
+    fn evaluate(
         fleet: &Fleet,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
         (key, home): (UpstreamKey, &Upstream),
         holder: Option<&Upstream>,
         now: Instant,
     ) -> Self {
-        let task = match home.reads_only() {
+        let task = match home.is_prefill_only() {
             true => Task::Prefill,
             false => Task::Generate,
         };
-        let fetch = Fetch::between(fleet, need.parts, home, holder);
+        let fetch = CacheFetch::between(fleet, need.parts, home, holder);
         let uncached = fetch.uncached;
         let mut plan = plan(fleet, key, home, need, task, uncached);
-        let generator = Generator::behind(fleet, need, home, now);
+        let generator = GeneratorEstimate::for_home(fleet, need, home, now);
         plan.fetch_from = fetch.from;
         plan.inputs.estimate_ms += fetch.ms + generator.ms;
         plan.inputs.generator_ms = generator.ms;
-        let alone_ms = fleet.alone_ms(home, task, uncached) + generator.alone_ms;
-        let late_ms = alone_ms + need.target.as_secs_f64() * 1000.0 * LATE_WAIT_SHARE;
+        let idle_estimate_ms =
+            fleet.idle_estimate_ms(home, task, uncached) + generator.idle_estimate_ms;
+        let late_ms =
+            idle_estimate_ms + need.latency_target.as_secs_f64() * 1000.0 * MAX_WAIT_FRACTION;
         plan.inputs.admit_ms = plan.inputs.admit_ms.max(late_ms);
-        let own = need.own_tokens();
-        let anew_ms = fleet.estimate_ms(home, task, uncached) - fleet.estimate_ms(home, task, own);
+        let own = need.unshared_tokens();
+        let repeated_ms =
+            fleet.estimate_ms(home, task, uncached) - fleet.estimate_ms(home, task, own);
         Self {
-            cost_ms: plan.inputs.estimate_ms + anew_ms + fetch.ms,
+            cost_ms: plan.inputs.estimate_ms + repeated_ms + fetch.ms,
             generator_ms: generator.ms,
             plan,
         }
@@ -102,13 +107,13 @@
     /// Whether a second home is so much sooner than the first that it is worth
     /// while: by more than what is read anew there, and by more than the wait for a
     /// generator, for which a prompt that is read sooner would only wait longer.
-    fn is_worth_while(&self, first: &Self) -> bool {
+    fn is_better_than(&self, first: &Self) -> bool {
         first.cost_ms - self.cost_ms > self.generator_ms
     }
 }
 
 /// What an engine other than the first home gets from there.
-struct Fetch {
+struct CacheFetch {
     from: Option<SocketAddr>,
     /// Time that the move takes.
     ms: f64,
@@ -116,7 +121,7 @@
     uncached: u32,
 }
 
-impl Fetch {
+impl CacheFetch {
     fn between(
         fleet: &Fleet,
         parts: &[PromptPart],
@@ -128,7 +133,7 @@
         match left.filter(|(_, left)| *left < uncached) {
             Some((holder, left)) => Self {
                 from: Some(holder.instance.addr),
-                ms: fleet.move_ms(holder, home, uncached - left),
+                ms: fleet.transfer_ms(holder, home, uncached - left),
                 uncached: left,
             },
             None => Self {
@@ -143,21 +148,21 @@
 /// What the generator takes of the time to the first event of a prompt that is read
 /// at a home; nothing where the home generates itself.
 #[derive(Default)]
-struct Generator {
+struct GeneratorEstimate {
     ms: f64,
     /// The same if it were idle.
-    alone_ms: f64,
+    idle_estimate_ms: f64,
 }
 
-impl Generator {
-    fn behind(fleet: &Fleet, need: &Need<'_>, home: &Upstream, now: Instant) -> Self {
-        if !home.reads_only() {
+impl GeneratorEstimate {
+    fn for_home(fleet: &Fleet, need: &Requirements<'_>, home: &Upstream, now: Instant) -> Self {
+        if !home.is_prefill_only() {
             return Self::default();
         }
         let best = best_generator(fleet, &home.instance.zone, need, now);
         best.map_or_else(Self::default, |(_, upstream)| Self {
-            ms: fleet.estimate_ms(upstream, Task::Take, 0),
-            alone_ms: fleet.alone_ms(upstream, Task::Take, 0),
+            ms: fleet.estimate_ms(upstream, Task::Decode, 0),
+            idle_estimate_ms: fleet.idle_estimate_ms(upstream, Task::Decode, 0),
         })
     }
 }
@@ -176,19 +181,19 @@
     scored.sort_by(|a, b| b.0.total_cmp(&a.0));
     let mut all = scored.into_iter().map(|(_, key, u)| (key, u));
     let first = all.next();
-    let others = all.filter(|(_, u)| u.reads_only());
+    let others = all.filter(|(_, u)| u.is_prefill_only());
     first.into_iter().chain(others).collect()
 }
 
 /// Whether prompts are read at engines that only read, and nowhere else: so it is
 /// once at least half of the engines do. Beside answers a prompt is read at half
 /// the speed, and each answer there waits for it.
-fn readers_suffice(fleet: &Fleet, service: ServiceKey) -> bool {
+fn has_enough_prefill_engines(fleet: &Fleet, service: ServiceKey) -> bool {
     let engines = fleet
         .iter()
         .filter(|(_, u)| u.service == service && u.is_open());
-    let (readers, others): (Vec<_>, Vec<_>) = engines.partition(|(_, u)| u.reads_only());
-    readers.len() >= others.len()
+    let (prefill_only, others): (Vec<_>, Vec<_>) = engines.partition(|(_, u)| u.is_prefill_only());
+    prefill_only.len() >= others.len()
 }
 
 /// The part that decides the home: the last that other requests may share.
--- a/crates/gateway/src/crashes/admit.rs
+++ b/crates/gateway/src/crashes/admit.rs
@@ -54,7 +54,7 @@
         verdict
     };
     if verdict != Verdict::Free {
-        account.work = Some(work);
+        account.fingerprint = Some(work);
     }
     match verdict {
         Verdict::Free => Admission::Usual,
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -29,12 +29,12 @@
 
 /// Notes that the connection broke on which an upstream ran a request.
 pub fn connection_broke(call: &Call, account: &mut Account) {
-    let (Some(sent), Some(instance)) = (account.tried, account.upstream.clone()) else {
+    let (Some(sent), Some(instance)) = (account.last_sent_to, account.upstream.clone()) else {
         return;
     };
     let SentTo { key, tag } = sent;
     let work = call.fingerprint();
-    account.work = Some(work);
+    account.fingerprint = Some(work);
     let broken = Broken {
         gateway: call.gateway.clone(),
         request: account.id.clone(),
@@ -77,7 +77,7 @@
         let Some(upstream) = fleet.get(self.key) else {
             return true;
         };
-        let has_answered_since = upstream.lived_at.is_some_and(|at| at > self.at);
+        let has_answered_since = upstream.alive_at.is_some_and(|at| at > self.at);
         !has_answered_since && !upstream.pool.has_open()
     }
 }
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -90,7 +90,7 @@
     let (Some(sent), Ok(permit)) = (Sent::new(call, account), room.try_acquire_owned()) else {
         return;
     };
-    account.work = Some(sent.work);
+    account.fingerprint = Some(sent.work);
     tokio::spawn(async move {
         sent.watch().await;
         drop(permit);
@@ -104,7 +104,7 @@
             gateway: call.gateway.clone(),
             request: account.id.clone(),
             work: call.fingerprint(),
-            to: account.tried?,
+            to: account.last_sent_to?,
             upstream: account.upstream.clone()?,
             in_trial: account.trial.is_some(),
             at: Instant::now(),
@@ -151,7 +151,7 @@
         let Some(upstream) = fleet.get(self.to.key) else {
             return Fate::Ended;
         };
-        let has_answered_since = upstream.lived_at.is_some_and(|at| at > self.at);
+        let has_answered_since = upstream.alive_at.is_some_and(|at| at > self.at);
         match has_answered_since || !upstream.is_open() {
             true => Fate::Lives,
             false => Fate::Open,
--- a/crates/gateway/src/division/orders.rs
+++ b/crates/gateway/src/division/orders.rs
@@ -4,7 +4,7 @@
 //! outcome is what the registry shows later: an answer that is lost, or an order
 //! that is carried out late, changes nothing of that.
 
-use super::{Demand, Division, EngineUse, Wanted};
+use super::{Demand, Division, EngineUse, WantedChange};
 use crate::duty::lease::Held;
 use crate::duty::take_lease;
 use crate::fleet::{Fleet, ServiceKey, Upstream, UpstreamKey};
@@ -21,7 +21,7 @@
 
 /// Time between two looks at the engines' use: a prompt is read for some 100 ms
 /// where reading binds.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const SAMPLE_EVERY: Duration = Duration::from_millis(50);
 /// Longest wait for an engine's answer.
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Largest answer of an engine to a report or an order.
@@ -31,7 +31,7 @@
 /// lags by a heartbeat and a read.
 const CHANGE_MARGIN: Duration = Duration::from_secs(5);
 /// Pause after orders, besides the change itself, in which the new division shows.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// An engine that should change its stage.
 #[derive(Debug, Clone)]
@@ -44,45 +44,45 @@
 
 /// A service whose engines are watched.
 #[derive(Debug)]
-struct Watched {
+struct WatchedService {
     service: ServiceKey,
     demand: Demand,
     /// No decision before this time.
-    rests_until: Instant,
+    paused_until: Instant,
 }
 
 /// Watches all services with engines until the process ends.
-pub async fn follow(gateway: Arc<Gateway>) {
+pub async fn run(gateway: Arc<Gateway>) {
     let mut client = Client::new(&gateway);
-    let mut all: Vec<Watched> = Vec::new();
+    let mut all: Vec<WatchedService> = Vec::new();
     let mut last = Instant::now();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(SAMPLE_EVERY).await;
         let now = Instant::now();
-        look(&gateway, &mut all, now - last);
+        sample_demand(&gateway, &mut all, now - last);
         last = now;
         if gateway.rank() != 0 || !gateway.is_ready() {
             continue;
         }
         for watched in &mut all {
-            if now >= watched.rests_until {
-                let pause = decide(&gateway, &mut client, watched).await;
-                watched.rests_until = Instant::now() + pause;
+            if now >= watched.paused_until {
+                let pause = decide_and_order(&gateway, &mut client, watched).await;
+                watched.paused_until = Instant::now() + pause;
             }
         }
     }
 }
 
 /// Takes the use of all engines.
-fn look(gateway: &Gateway, all: &mut Vec<Watched>, since: Duration) {
+fn sample_demand(gateway: &Gateway, all: &mut Vec<WatchedService>, since: Duration) {
     let fleet = gateway.fleet();
     for service in fleet.engine_services() {
         let at = all.binary_search_by_key(&service, |w| w.service);
         let at = at.unwrap_or_else(|at| {
-            let watched = Watched {
+            let watched = WatchedService {
                 service,
                 demand: Demand::default(),
-                rests_until: Instant::now(),
+                paused_until: Instant::now(),
             };
             all.insert(at, watched);
             at
@@ -90,7 +90,7 @@
         let engines = engines(&fleet, service);
         all[at]
             .demand
-            .sample(engines.map(|(_, u)| use_of(u)), since);
+            .sample(engines.map(|(_, u)| engine_use(u)), since);
     }
 }
 
@@ -103,11 +103,11 @@
     })
 }
 
-fn use_of(upstream: &Upstream) -> EngineUse {
+fn engine_use(upstream: &Upstream) -> EngineUse {
     EngineUse {
-        reads_only: upstream.reads_only(),
-        is_reading: upstream.reading_tokens() > 0,
-        generating: match upstream.reads_only() {
+        is_prefill_only: upstream.is_prefill_only(),
+        is_prefilling: upstream.all_waiting_tokens() > 0,
+        generating: match upstream.is_prefill_only() {
             true => 0,
             false => upstream.all_running() - upstream.all_waiting().min(upstream.all_running()),
         },
@@ -116,71 +116,81 @@
 
 /// Looks whether another division is better, and orders it. Gives the time until
 /// the next look.
-async fn decide(gateway: &Arc<Gateway>, client: &mut Client, watched: &Watched) -> Duration {
+async fn decide_and_order(
+    gateway: &Arc<Gateway>,
+    client: &mut Client,
+    watched: &WatchedService,
+) -> Duration {
     let service = watched.service;
     let now = Instant::now();
     let (wanted, division, change) = {
         let fleet = gateway.fleet();
         if engines(&fleet, service).any(|(_, u)| u.is_changing(now)) {
-            return LOOK_EVERY;
+            return SAMPLE_EVERY;
         }
         let division = division(&fleet, service);
         let is_first_start = gateway.host().is_first_start;
-        let wanted = watched.demand.wanted(division, is_first_start);
+        let wanted = watched.demand.wanted_change(division, is_first_start);
         let change = fleet.info(service).engine.map(|e| e.stage_change);
         (wanted, division, change.unwrap_or_default())
     };
     let Some(wanted) = wanted else {
-        return LOOK_EVERY;
+        return SAMPLE_EVERY;
     };
     let held = match take_lease(gateway, client, Duty::Orders).await {
         Ok(held) => held,
         Err(pause) => return pause,
     };
-    tell(gateway, watched, division, wanted, held);
-    let targets = pick(&gateway.fleet(), service, wanted);
-    let away = change + CHANGE_MARGIN;
+    log_wanted(gateway, watched, division, wanted, held);
+    let targets = pick_engines(&gateway.fleet(), service, wanted);
+    let unavailable_for = change + CHANGE_MARGIN;
     for target in &targets {
         if let Some(upstream) = gateway.fleet().get_mut(target.key) {
-            upstream.set_changing(now + away, wanted.stage);
+            upstream.set_changing(now + unavailable_for, wanted.stage);
         }
     }
     // Peers hear of it first, so that they send no request that would be refused.
     tokio::time::sleep(exchange::time_to_tell(gateway)).await;
     for target in &targets {
-        let may_run = order(gateway, target, wanted.stage, held).await;
+        let may_run = send_order(gateway, target, wanted.stage, held).await;
         if let Some(upstream) = gateway.fleet().get_mut(target.key).filter(|_| !may_run) {
             upstream.clear_changing();
         }
     }
-    change + SETTLE
+    change + SETTLE_TIME
 }
 
 fn division(fleet: &Fleet, service: ServiceKey) -> Division {
-    let (mut readers, mut generators) = (0, 0);
+    let (mut prefill_engines, mut generators) = (0, 0);
     for (_, upstream) in engines(fleet, service) {
-        match upstream.reads_only() {
-            true => readers += 1,
+        match upstream.is_prefill_only() {
+            true => prefill_engines += 1,
             false => generators += 1,
         }
     }
     let slots = fleet.info(service).engine.map_or(1, |e| e.slots);
     Division {
-        readers,
+        prefill_engines,
         generators,
         slots,
     }
 }
 
-fn tell(gateway: &Gateway, watched: &Watched, now: Division, wanted: Wanted, held: Held) {
+fn log_wanted(
+    gateway: &Gateway,
+    watched: &WatchedService,
+    now: Division,
+    wanted: WantedChange,
+    held: Held,
+) {
     let fleet = gateway.fleet();
     emit(&Event::DivisionWanted {
         service: &fleet.info(watched.service).name,
         basis: wanted.basis.name(),
-        readers: now.readers,
+        readers: now.prefill_engines,
         generators: now.generators,
         changes: wanted.changes,
-        reading: watched.demand.reading,
+        reading: watched.demand.prefilling,
         generating: watched.demand.generating,
         peak: watched.demand.peak,
         token: held.token,
@@ -189,9 +199,9 @@
 
 /// The engines that change: from the zone that has the most like them, and there
 /// those with the least to do, so that each zone keeps some of each.
-fn pick(fleet: &Fleet, service: ServiceKey, wanted: Wanted) -> Vec<Target> {
+fn pick_engines(fleet: &Fleet, service: ServiceKey, wanted: WantedChange) -> Vec<Target> {
     let to_read = wanted.stage == Stage::Prefill;
-    let fit = engines(fleet, service).filter(|(_, u)| u.reads_only() != to_read);
+    let fit = engines(fleet, service).filter(|(_, u)| u.is_prefill_only() != to_read);
     let mut left: Vec<(UpstreamKey, &Upstream)> = fit.collect();
     left.sort_by_key(|(_, u)| (u.all_running(), u.hash));
     let mut out = Vec::new();
@@ -216,21 +226,21 @@
 }
 
 /// Gives one engine its order; says whether it may be carried out.
-async fn order(gateway: &Arc<Gateway>, target: &Target, stage: Stage, held: Held) -> bool {
+async fn send_order(gateway: &Arc<Gateway>, target: &Target, stage: Stage, held: Held) -> bool {
     let pool = Pool::new(target.addr, ENGINE_TIMEOUT).metered(&gateway.upstream_bytes);
     let report = match report(&pool).await {
         Ok(report) => report,
-        Err(why) => return told(target, stage, held, None, &why, false),
+        Err(why) => return log_order(target, stage, held, None, &why, false),
     };
     if target.start.is_some() && report.start != target.start {
         // Its counts are of the one start, what the registry says is of the other.
-        return told(target, stage, held, Some(report), "another start", false);
+        return log_order(target, stage, held, Some(report), "another start", false);
     }
     if report.is_busy {
-        return told(target, stage, held, Some(report), "busy", false);
+        return log_order(target, stage, held, Some(report), "busy", false);
     }
     if report.stage == Some(stage) {
-        return told(target, stage, held, Some(report), "has it", true);
+        return log_order(target, stage, held, Some(report), "has it", true);
     }
     let holder = gateway.host().ip.to_string();
     let order = Order {
@@ -241,10 +251,10 @@
         after_orders: report.orders,
     };
     let Some(req) = order.request(target.addr) else {
-        return told(target, stage, held, Some(report), "can't be built", false);
+        return log_order(target, stage, held, Some(report), "can't be built", false);
     };
     if !held.is_valid(Instant::now()) {
-        return told(target, stage, held, Some(report), "lease is over", false);
+        return log_order(target, stage, held, Some(report), "lease is over", false);
     }
     let (outcome, may_run) = match call(&pool, req).await {
         Ok((status, _)) => match OrderAnswer::of(status) {
@@ -258,7 +268,7 @@
         Err(CallError::NotSent(why)) => (format!("not sent: {why}"), false),
         Err(CallError::MaybeSent(why)) => (format!("unknown: {why}"), true),
     };
-    told(target, stage, held, Some(report), &outcome, may_run)
+    log_order(target, stage, held, Some(report), &outcome, may_run)
 }
 
 async fn report(pool: &Pool) -> Result<Report, String> {
@@ -278,7 +288,7 @@
 }
 
 /// Logs what came of an order; gives whether it may be carried out.
-fn told(
+fn log_order(
     target: &Target,
     stage: Stage,
     held: Held,
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -7,20 +7,20 @@
 
 pub mod cache;
 pub mod durations;
+pub mod latency;
 mod merge;
 mod placements;
-pub mod speed;
 mod starts;
 mod upstream;
 
-pub use merge::Merged;
-pub use upstream::{Others, Upstream};
+pub use merge::MergeOutcome;
+pub use upstream::{PeerLoad, Upstream};
 
 use crate::peers::{Changing, Placement};
-use durations::{Durations, Told};
+use durations::{DurationSnapshot, Durations};
+use latency::{Backlog, LatencyModel, Task};
 use platform::{Engine, Scaling, Service, Start};
-use speed::{Speed, Task, Work};
-use starts::Starts;
+use starts::StartHistory;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -30,7 +30,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time that a move of memory between engines takes besides its bytes.
-const MOVE_SETUP_MS: f64 = 5.0;
+const TRANSFER_SETUP_MS: f64 = 5.0;
 /// A service by its place in the fleet's list. Services are never forgotten, so
 /// a key stays valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,13 +53,13 @@
     /// Bounds on the number of its upstreams, if that is ours to choose.
     pub scaling: Option<Scaling>,
     /// Measured speeds of its upstreams, by task.
-    speeds: [Speed; 3],
+    latency_models: [LatencyModel; 3],
     /// How long its answers take.
     durations: Durations,
 }
 
 #[derive(Debug)]
-struct Slot {
+struct ArenaSlot {
     generation: u32,
     upstream: Option<Upstream>,
 }
@@ -68,9 +68,9 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     services: Vec<ServiceInfo>,
-    slots: Vec<Slot>,
+    arena: Vec<ArenaSlot>,
     /// Slots without an upstream.
-    free: Vec<u32>,
+    free_slots: Vec<u32>,
     /// Keys by the hash of the upstream's id, sorted: each heartbeat in the registry
     /// looks one up.
     by_hash: Vec<(u64, UpstreamKey)>,
@@ -78,12 +78,12 @@
     /// some up.
     by_tag: Vec<(u32, UpstreamKey)>,
     /// Starts of ids, to tell one that was replaced.
-    starts: Starts,
+    starts: StartHistory,
     /// Sum of the hashes of what the registry says of each upstream. The order in
     /// which upstreams came differs between processes; a sum doesn't depend on it.
     view: u64,
     /// Whether engines that are added now have just started.
-    sees_starts: bool,
+    new_caches_empty: bool,
     /// Parts that this process was the first to send somewhere, as far as it knows,
     /// with the time.
     placements: VecDeque<(Instant, Placement)>,
@@ -91,7 +91,7 @@
 
 impl Fleet {
     /// The key of a service; one that is new gets a key.
-    pub fn service(&mut self, name: &str) -> ServiceKey {
+    pub fn intern_service(&mut self, name: &str) -> ServiceKey {
         let known = self.services.iter().position(|s| s.name == name);
         let at = known.unwrap_or_else(|| {
             self.services.push(ServiceInfo::new(name));
@@ -102,7 +102,7 @@
 
     /// Takes a service's figures from the configuration.
     pub fn configure(&mut self, service: &Service) {
-        let key = self.service(&service.name);
+        let key = self.intern_service(&service.name);
         let info = &mut self.services[usize::from(key.0)];
         info.engine = service.engine;
         info.scaling = service.scaling;
@@ -114,8 +114,8 @@
     }
 
     /// The measured speed of a service's upstreams at a task.
-    pub fn speed_mut(&mut self, key: ServiceKey, task: Task) -> &mut Speed {
-        &mut self.services[usize::from(key.0)].speeds[task as usize]
+    pub fn latency_model_mut(&mut self, key: ServiceKey, task: Task) -> &mut LatencyModel {
+        &mut self.services[usize::from(key.0)].latency_models[task as usize]
     }
 
     /// How long a service's answers take.
@@ -124,41 +124,44 @@
     }
 
     /// What another process may take of how long answers take.
-    pub fn told_durations(&self, now: Instant) -> Vec<Told> {
+    pub fn duration_snapshots(&self, now: Instant) -> Vec<DurationSnapshot> {
         let services = self.services.iter();
-        let told = services.filter_map(|s| s.durations.told(&s.name, now));
-        told.collect()
+        let snapshots = services.filter_map(|s| s.durations.snapshot(&s.name, now));
+        snapshots.collect()
     }
 
     /// Takes what another process has seen of how long answers take, of services that are
     /// known here.
-    pub fn take_durations(&mut self, all: &[Told], now: Instant) {
-        for told in all {
-            let known = self.services.iter_mut().find(|s| s.name == told.service);
+    pub fn merge_durations(&mut self, all: &[DurationSnapshot], now: Instant) {
+        for snapshot in all {
+            let known = self
+                .services
+                .iter_mut()
+                .find(|s| s.name == snapshot.service);
             if let Some(service) = known {
-                service.durations.take(told, now);
+                service.durations.merge(snapshot, now);
             }
         }
     }
 
     /// An upstream, if it is still known.
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
-        let slot = self.slots.get(key.index as usize)?;
+        let slot = self.arena.get(key.index as usize)?;
         let is_same = slot.generation == key.generation;
         slot.upstream.as_ref().filter(|_| is_same)
     }
 
     /// An upstream for changes, if it is still known.
     pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Upstream> {
-        let slot = self.slots.get_mut(key.index as usize)?;
+        let slot = self.arena.get_mut(key.index as usize)?;
         let is_same = slot.generation == key.generation;
         slot.upstream.as_mut().filter(|_| is_same)
     }
 
     /// All upstreams with their keys.
     pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
-        let slots = self.slots.iter().enumerate();
-        slots.filter_map(|(index, slot)| {
+        let arena = self.arena.iter().enumerate();
+        arena.filter_map(|(index, slot)| {
             let key = UpstreamKey {
                 index: index as u32,
                 generation: slot.generation,
@@ -173,7 +176,7 @@
     }
 
     /// Whether an id stands for another start now than the one with a key.
-    pub fn has_started_again(&self, key: UpstreamKey, id: &str) -> bool {
+    pub fn has_restarted(&self, key: UpstreamKey, id: &str) -> bool {
         self.find(id).is_some_and(|now| now != key)
     }
 
@@ -185,14 +188,14 @@
     /// Estimated time to the first byte of a request that an upstream is sent now,
     /// in milliseconds.
     pub fn estimate_ms(&self, upstream: &Upstream, task: Task, uncached: u32) -> f64 {
-        let speed = self.info(upstream.service).speed(task);
-        speed.estimate(upstream.work(uncached)) * upstream.slowdown.factor()
+        let model = self.info(upstream.service).latency_model(task);
+        model.estimate(upstream.backlog(uncached)) * upstream.slowdown.factor()
     }
 
     /// Notes that engines which are added from now on have just started: so it is
     /// once the registry was read, and all along when the whole system starts.
-    pub fn see_starts(&mut self) {
-        self.sees_starts = true;
+    pub fn assume_empty_caches(&mut self) {
+        self.new_caches_empty = true;
     }
 
     /// Services whose upstreams are model engines.
@@ -214,7 +217,7 @@
         let changing = self.iter().filter_map(|(_, u)| {
             Some(Changing {
                 upstream: u.tag(),
-                left_ms: u.away_for(now)?.as_millis() as u32,
+                left_ms: u.change_remaining(now)?.as_millis() as u32,
             })
         });
         changing.collect()
@@ -222,30 +225,32 @@
 
     /// Estimated time to the first byte at an idle upstream that is as fast as its
     /// kind, in milliseconds.
-    pub fn alone_ms(&self, upstream: &Upstream, task: Task, uncached: u32) -> f64 {
-        let work = Work {
+    pub fn idle_estimate_ms(&self, upstream: &Upstream, task: Task, uncached: u32) -> f64 {
+        let backlog = Backlog {
             prompts: 0.0,
             tokens: f64::from(uncached),
-            turns: 0.0,
+            slot_turnovers: 0.0,
         };
-        self.info(upstream.service).speed(task).estimate(work)
+        self.info(upstream.service)
+            .latency_model(task)
+            .estimate(backlog)
     }
 
     /// Time in which so many tokens move from one engine's memory to another's.
-    pub fn move_ms(&self, from: &Upstream, to: &Upstream, tokens: u32) -> f64 {
+    pub fn transfer_ms(&self, from: &Upstream, to: &Upstream, tokens: u32) -> f64 {
         let Some(engine) = self.info(from.service).engine else {
             return 0.0;
         };
         let bits = f64::from(tokens) * engine.token_bytes * 8.0;
         let ms = bits / engine.link_mbps.max(1.0) / 1000.0;
         match from.instance.zone == to.instance.zone {
-            true => MOVE_SETUP_MS + ms,
-            false => MOVE_SETUP_MS + 2.0 * ms,
+            true => TRANSFER_SETUP_MS + ms,
+            false => TRANSFER_SETUP_MS + 2.0 * ms,
         }
     }
 
     /// The upstream with a tag, for changes.
-    pub fn find_tag(&mut self, tag: u32) -> Option<&mut Upstream> {
+    pub fn get_mut_by_tag(&mut self, tag: u32) -> Option<&mut Upstream> {
         self.get_mut(self.key_of_tag(tag)?)
     }
 
@@ -295,7 +300,8 @@
             name: name.to_owned(),
             engine: None,
             scaling: None,
-            speeds: [Task::Generate, Task::Prefill, Task::Take].map(Speed::of),
+            latency_models: [Task::Generate, Task::Prefill, Task::Decode]
+                .map(LatencyModel::for_task),
             durations: Durations::default(),
         }
     }
@@ -306,7 +312,7 @@
     }
 
     /// The measured speed of the service's upstreams at a task.
-    pub fn speed(&self, task: Task) -> &Speed {
-        &self.speeds[task as usize]
+    pub fn latency_model(&self, task: Task) -> &LatencyModel {
+        &self.latency_models[task as usize]
     }
 }
--- a/crates/gateway/src/fleet/cache.rs
+++ b/crates/gateway/src/fleet/cache.rs
@@ -9,7 +9,7 @@
 
 /// Part of an engine's memory that shared parts are taken to fill. The rest goes to
 /// running requests, and to the parts of a prompt that nobody shares.
-const SHARED_PARTS: f64 = 0.5;
+const SHARED_PARTS_FRACTION: f64 = 0.5;
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
@@ -19,16 +19,16 @@
 
 /// Parts that one engine is taken to hold.
 #[derive(Debug, Default)]
-pub struct Cache {
+pub struct CacheEstimate {
     /// Sorted by the part's id.
     entries: Vec<Entry>,
     tokens: u64,
 }
 
-impl Cache {
+impl CacheEstimate {
     /// Notes a part that is sent there, for a memory of so many tokens. Says
     /// whether it is new.
-    pub fn note(&mut self, part: PromptPart, memory: u32, now: Instant) -> bool {
+    pub fn record(&mut self, part: PromptPart, memory: u32, now: Instant) -> bool {
         let at = self.entries.binary_search_by_key(&part.id, |e| e.part.id);
         match at {
             Ok(at) => {
@@ -39,35 +39,35 @@
                 let used_at = now;
                 self.entries.insert(at, Entry { part, used_at });
                 self.tokens += u64::from(part.tokens);
-                self.shrink(memory);
+                self.evict(memory);
                 true
             }
         }
     }
 
     /// Forgets what was used least recently, until the rest fits.
-    fn shrink(&mut self, memory: u32) {
-        let most = (f64::from(memory) * SHARED_PARTS) as u64;
-        while self.tokens > most && self.entries.len() > 1 {
+    fn evict(&mut self, memory: u32) {
+        let limit = (f64::from(memory) * SHARED_PARTS_FRACTION) as u64;
+        while self.tokens > limit && self.entries.len() > 1 {
             let all = self.entries.iter().enumerate();
             let Some((oldest, _)) = all.min_by_key(|(_, e)| e.used_at) else {
                 return;
             };
-            let gone = self.entries.remove(oldest);
-            self.tokens -= u64::from(gone.part.tokens);
+            let evicted = self.entries.remove(oldest);
+            self.tokens -= u64::from(evicted.part.tokens);
         }
     }
 
     /// Tokens of a prompt's shared parts that must be read. A part is of use only
     /// behind all parts before it.
-    pub fn missing(&self, shared: &[PromptPart]) -> u32 {
-        let held = shared.iter().take_while(|part| self.holds(part.id));
-        let held: u32 = held.map(|p| p.tokens).sum();
+    pub fn missing_tokens(&self, shared: &[PromptPart]) -> u32 {
+        let cached = shared.iter().take_while(|part| self.contains(part.id));
+        let cached: u32 = cached.map(|p| p.tokens).sum();
         let all: u32 = shared.iter().map(|p| p.tokens).sum();
-        all - held
+        all - cached
     }
 
-    fn holds(&self, id: u64) -> bool {
+    fn contains(&self, id: u64) -> bool {
         self.entries
             .binary_search_by_key(&id, |e| e.part.id)
             .is_ok()
--- a/crates/gateway/src/fleet/durations.rs
+++ b/crates/gateway/src/fleet/durations.rs
@@ -6,9 +6,9 @@
 //! What a stop may cut off then are the answers of its last seconds that are slower than all
 //! of these minutes, which is rare whatever the rate.
 
-mod told;
+mod snapshot;
 
-pub use told::{RouteTold, Told, WindowTold};
+pub use snapshot::{DurationSnapshot, RouteSnapshot, WindowSnapshot};
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 const WINDOWS: usize = 10;
 /// Answers from which a bound is taken, at least: of fewer the slowest tells little. Rare
 /// lengths borrow those of the lengths next to them.
-const ENOUGH: usize = 16;
+const MIN_ANSWERS: usize = 16;
 /// What is added to the slowest answer, as a share: clients' estimates of lengths are often
 /// far off, and the next answer may be slower still.
 const MARGIN: f64 = 0.3;
@@ -27,17 +27,17 @@
 /// seconds of a stop in which an answer slower than all before would be cut off. Answers of a
 /// length that were watched for less say nothing, however many they are; just past it the
 /// whole is added, after a minute next to nothing.
-const RISKY: Duration = Duration::from_secs(5);
+const MIN_OBSERVED: Duration = Duration::from_secs(5);
 /// Time taken for granted while too few answers were seen: a part for each, and one for each
 /// token that an answer may have, the pace that the product promises for 95 in 100 tokens.
-const START: Duration = Duration::from_secs(1);
+const DEFAULT_BASE: Duration = Duration::from_secs(1);
 /// The same for an answer of which the route alone is known: until its request's own time is
 /// over.
-const START_PLAIN: Duration = Duration::MAX;
-const START_PER_TOKEN: Duration = Duration::from_millis(25);
+const DEFAULT_PLAIN: Duration = Duration::MAX;
+const DEFAULT_PER_TOKEN: Duration = Duration::from_millis(25);
 /// Longest answers that have a class of their own: 2^16 tokens.
-const MAX_BITS: u32 = 17;
-const CLASSES: usize = MAX_BITS as usize;
+const MAX_LENGTH_BITS: u32 = 17;
+const CLASSES: usize = MAX_LENGTH_BITS as usize;
 /// Routes that are kept of one service. Configurations come and go; past this many all
 /// are learned anew.
 const MAX_ROUTES: usize = 1024;
@@ -55,7 +55,7 @@
         /// Tokens that the client expects.
         expected: u32,
         /// The most that it may have.
-        most: u32,
+        max: u32,
     },
 }
 
@@ -63,21 +63,21 @@
 #[derive(Debug, Default)]
 pub struct Durations {
     /// Engines' answers, by class of length; see [`class`].
-    classes: Vec<Class>,
+    classes: Vec<Samples>,
     /// Others, sorted by route.
-    routes: Vec<Route>,
+    routes: Vec<RouteSamples>,
 }
 
 /// Answers of one route.
 #[derive(Debug)]
-struct Route {
-    name: u64,
-    answers: Class,
+struct RouteSamples {
+    route: u64,
+    answers: Samples,
 }
 
 /// Answers of one class.
 #[derive(Debug, Default)]
-struct Class {
+struct Samples {
     /// The last windows, the newest first.
     windows: VecDeque<Window>,
     /// When those came that are being streamed now: a process that has just started has
@@ -95,26 +95,26 @@
 
 /// A class that tells something of another.
 #[derive(Debug, Clone, Copy)]
-struct Neighbour {
+struct SimilarClass {
     class: usize,
     /// How many times longer than its answers those of the other class may be.
-    times: u32,
+    factor: u32,
 }
 
 impl Durations {
     /// Notes a whole answer that ended now, so long after the estimate of its first byte.
-    pub fn note(&mut self, length: Length, took: Duration, now: Instant) {
-        self.class_mut(length).push(took, now);
+    pub fn record(&mut self, length: Length, took: Duration, now: Instant) {
+        self.samples_mut(length).push(took, now);
     }
 
     /// Notes that an answer is streamed whose request came at a time.
     pub fn begin(&mut self, length: Length, since: Instant) {
-        self.class_mut(length).running.push(since);
+        self.samples_mut(length).running.push(since);
     }
 
     /// Notes that such an answer has ended, whole or not.
     pub fn end(&mut self, length: Length, since: Instant) {
-        let running = &mut self.class_mut(length).running;
+        let running = &mut self.samples_mut(length).running;
         if let Some(at) = running.iter().position(|s| *s == since) {
             running.swap_remove(at);
         }
@@ -122,60 +122,63 @@
 
     /// How long after the estimate of its first byte an answer ends at the latest, as far as
     /// is known.
-    pub fn longest(&self, length: Length, now: Instant) -> Duration {
+    pub fn upper_bound(&self, length: Length, now: Instant) -> Duration {
         let mut count = 0;
         let mut slowest = Duration::ZERO;
-        let mut watched = Duration::ZERO;
-        for (near, times) in self.nearest(length) {
-            count += near.count(now);
-            slowest = slowest.max(near.slowest(now).saturating_mul(times));
-            watched = watched.max(near.watched(now));
-            if count >= ENOUGH && watched >= RISKY {
-                return slowest.mul_f64(factor(watched));
+        let mut observed_for = Duration::ZERO;
+        for (samples, factor) in self.similar_samples(length) {
+            count += samples.count(now);
+            slowest = slowest.max(samples.slowest(now).saturating_mul(factor));
+            observed_for = observed_for.max(samples.observed_for(now));
+            if count >= MIN_ANSWERS && observed_for >= MIN_OBSERVED {
+                return slowest.mul_f64(margin_factor(observed_for));
             }
         }
-        slowest.mul_f64(factor(watched)).max(length.start())
+        slowest
+            .mul_f64(margin_factor(observed_for))
+            .max(length.default_duration())
     }
 
     /// The answers that tell most of one, from the nearest on, and how many times longer than
     /// theirs it may be.
-    fn nearest(&self, length: Length) -> Vec<(&Class, u32)> {
+    fn similar_samples(&self, length: Length) -> Vec<(&Samples, u32)> {
         match length {
             Length::Plain { route } => {
-                let at = self.routes.binary_search_by_key(&route, |r| r.name);
+                let at = self.routes.binary_search_by_key(&route, |r| r.route);
                 at.map_or(Vec::new(), |at| vec![(&self.routes[at].answers, 1)])
             }
             Length::Tokens { expected, .. } => {
-                let near = neighbours(class(expected)).into_iter();
-                near.filter_map(|n| Some((self.classes.get(n.class)?, n.times)))
+                let similar = similar_classes(class(expected)).into_iter();
+                similar
+                    .filter_map(|n| Some((self.classes.get(n.class)?, n.factor)))
                     .collect()
             }
         }
     }
 
-    fn class_mut(&mut self, length: Length) -> &mut Class {
+    fn samples_mut(&mut self, length: Length) -> &mut Samples {
         match length {
-            Length::Plain { route } => self.route_mut(route),
+            Length::Plain { route } => self.route_samples_mut(route),
             Length::Tokens { expected, .. } => {
                 let class = class(expected);
                 if self.classes.len() <= class {
-                    self.classes.resize_with(class + 1, Class::default);
+                    self.classes.resize_with(class + 1, Samples::default);
                 }
                 &mut self.classes[class]
             }
         }
     }
 
-    fn route_mut(&mut self, name: u64) -> &mut Class {
-        let at = match self.routes.binary_search_by_key(&name, |r| r.name) {
+    fn route_samples_mut(&mut self, route: u64) -> &mut Samples {
+        let at = match self.routes.binary_search_by_key(&route, |r| r.route) {
             Ok(at) => at,
             Err(_) if self.routes.len() >= MAX_ROUTES => {
                 self.routes.clear();
-                return self.route_mut(name);
+                return self.route_samples_mut(route);
             }
             Err(at) => {
-                let answers = Class::default();
-                self.routes.insert(at, Route { name, answers });
+                let answers = Samples::default();
+                self.routes.insert(at, RouteSamples { route, answers });
                 at
             }
         };
@@ -183,7 +186,7 @@
     }
 }
 
-impl Class {
+impl Samples {
     fn push(&mut self, took: Duration, now: Instant) {
         let newest = self.windows.front_mut();
         match newest.filter(|w| now.saturating_duration_since(w.since) < WINDOW) {
@@ -203,38 +206,38 @@
     }
 
     /// The windows that still count.
-    fn latest(&self, now: Instant) -> impl Iterator<Item = &Window> {
+    fn current_windows(&self, now: Instant) -> impl Iterator<Item = &Window> {
         let oldest = WINDOW * WINDOWS as u32;
         let age = move |w: &Window| now.saturating_duration_since(w.since);
         self.windows.iter().filter(move |w| age(w) < oldest)
     }
 
     /// For how long they were watched.
-    fn watched(&self, now: Instant) -> Duration {
-        let first = self.latest(now).last();
-        first.map_or(Duration::ZERO, |w| now.saturating_duration_since(w.since))
+    fn observed_for(&self, now: Instant) -> Duration {
+        let oldest = self.current_windows(now).last();
+        oldest.map_or(Duration::ZERO, |w| now.saturating_duration_since(w.since))
     }
 
     fn count(&self, now: Instant) -> usize {
-        self.latest(now).map(|w| w.count).sum()
+        self.current_windows(now).map(|w| w.count).sum()
     }
 
     /// The slowest of the latest answers and of those that still run.
     fn slowest(&self, now: Instant) -> Duration {
-        let ages = self.running.iter();
-        let ages = ages.map(|since| now.saturating_duration_since(*since));
-        let all = self.latest(now).map(|w| w.slowest).chain(ages);
+        let running = self.running.iter();
+        let running = running.map(|since| now.saturating_duration_since(*since));
+        let all = self.current_windows(now).map(|w| w.slowest).chain(running);
         all.max().unwrap_or_default()
     }
 }
 
 impl Length {
     /// What is taken for granted of it while too little is known.
-    fn start(self) -> Duration {
+    fn default_duration(self) -> Duration {
         match self {
-            Self::Plain { .. } => START_PLAIN,
-            Self::Tokens { expected, most } => {
-                START + START_PER_TOKEN.saturating_mul(expected.max(most))
+            Self::Plain { .. } => DEFAULT_PLAIN,
+            Self::Tokens { expected, max } => {
+                DEFAULT_BASE + DEFAULT_PER_TOKEN.saturating_mul(expected.max(max))
             }
         }
     }
@@ -242,32 +245,32 @@
 
 /// How many times longer than the slowest answer the next may take, where they were watched for
 /// a time.
-fn factor(watched: Duration) -> f64 {
-    1.0 + MARGIN + RISKY.as_secs_f64() / watched.max(RISKY).as_secs_f64()
+fn margin_factor(observed_for: Duration) -> f64 {
+    1.0 + MARGIN + MIN_OBSERVED.as_secs_f64() / observed_for.max(MIN_OBSERVED).as_secs_f64()
 }
 
 /// Class of an engine's answer: those of one class differ in their expected length by less
 /// than a factor of two.
 fn class(tokens: u32) -> usize {
     let bits = u32::BITS - tokens.max(1).leading_zeros();
-    bits.min(MAX_BITS) as usize - 1
+    bits.min(MAX_LENGTH_BITS) as usize - 1
 }
 
 /// A class and those that tell something of it, from the nearest on: each is twice as long
 /// as the one before, and longer answers take no less.
-fn neighbours(wanted: usize) -> Vec<Neighbour> {
-    let mut all = vec![Neighbour {
+fn similar_classes(wanted: usize) -> Vec<SimilarClass> {
+    let mut all = vec![SimilarClass {
         class: wanted,
-        times: 1,
+        factor: 1,
     }];
     for step in 1..CLASSES {
         if let Some(class) = wanted.checked_sub(step) {
-            let times = 1 << step;
-            all.push(Neighbour { class, times });
+            let factor = 1 << step;
+            all.push(SimilarClass { class, factor });
         }
         let class = wanted + step;
         if class < CLASSES {
-            all.push(Neighbour { class, times: 1 });
+            all.push(SimilarClass { class, factor: 1 });
         }
     }
     all
--- a/crates/gateway/src/fleet/durations/told.rs
+++ b/crates/gateway/src/fleet/durations/snapshot.rs
@@ -5,33 +5,33 @@
 //! seen its own share only. What a stopping process would take on by its own few answers
 //! alone was cut off now and then.
 
-use super::{Class, Durations, WINDOW, WINDOWS, Window};
+use super::{Durations, Samples, WINDOW, WINDOWS, Window};
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
 /// How long answers of one service take, as one process has seen it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct DurationSnapshot {
     /// Name of the service.
     pub service: String,
     /// Engines' answers, the shortest class first.
-    pub classes: Vec<Vec<WindowTold>>,
+    pub classes: Vec<Vec<WindowSnapshot>>,
     /// Others.
-    pub routes: Vec<RouteTold>,
+    pub routes: Vec<RouteSnapshot>,
 }
 
 /// Answers of one route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouteTold {
+pub struct RouteSnapshot {
     /// Hash of the route's name.
     pub route: u64,
     /// Its answers.
-    pub windows: Vec<WindowTold>,
+    pub windows: Vec<WindowSnapshot>,
 }
 
 /// Answers that ended in a span of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WindowTold {
+pub struct WindowSnapshot {
     /// How long ago the span began, in milliseconds.
     pub age_ms: u32,
     /// How many answers.
@@ -42,39 +42,46 @@
 
 impl Durations {
     /// What others may take of it; none if no answer was seen.
-    pub fn told(&self, service: &str, now: Instant) -> Option<Told> {
-        let routes = self.routes.iter().map(|route| RouteTold {
-            route: route.name,
-            windows: route.answers.told(now),
+    pub fn snapshot(&self, service: &str, now: Instant) -> Option<DurationSnapshot> {
+        let routes = self.routes.iter().map(|route| RouteSnapshot {
+            route: route.route,
+            windows: route.answers.snapshots(now),
         });
-        let told = Told {
+        let snapshot = DurationSnapshot {
             service: service.to_owned(),
-            classes: self.classes.iter().map(|class| class.told(now)).collect(),
+            classes: self
+                .classes
+                .iter()
+                .map(|class| class.snapshots(now))
+                .collect(),
             routes: routes.collect(),
         };
-        let routes = told.routes.iter().map(|route| &route.windows);
-        let mut all = told.classes.iter().chain(routes);
-        all.any(|windows| !windows.is_empty()).then_some(told)
+        let routes = snapshot.routes.iter().map(|route| &route.windows);
+        let mut all_windows = snapshot.classes.iter().chain(routes);
+        all_windows
+            .any(|windows| !windows.is_empty())
+            .then_some(snapshot)
     }
 
     /// Takes what another has seen beside its own.
-    pub fn take(&mut self, told: &Told, now: Instant) {
-        let classes = told.classes.iter().take(super::CLASSES);
+    pub fn merge(&mut self, snapshot: &DurationSnapshot, now: Instant) {
+        let classes = snapshot.classes.iter().take(super::CLASSES);
         for (class, windows) in classes.enumerate() {
             if self.classes.len() <= class {
-                self.classes.resize_with(class + 1, Class::default);
+                self.classes.resize_with(class + 1, Samples::default);
             }
-            self.classes[class].take(windows, now);
+            self.classes[class].merge(windows, now);
         }
-        for route in told.routes.iter().take(super::MAX_ROUTES) {
-            self.route_mut(route.route).take(&route.windows, now);
+        for route in snapshot.routes.iter().take(super::MAX_ROUTES) {
+            self.route_samples_mut(route.route)
+                .merge(&route.windows, now);
         }
     }
 }
 
-impl Class {
-    fn told(&self, now: Instant) -> Vec<WindowTold> {
-        let windows = self.latest(now).map(|window| WindowTold {
+impl Samples {
+    fn snapshots(&self, now: Instant) -> Vec<WindowSnapshot> {
+        let windows = self.current_windows(now).map(|window| WindowSnapshot {
             age_ms: millis(now.saturating_duration_since(window.since)),
             count: u32::try_from(window.count).unwrap_or(u32::MAX),
             slowest_ms: millis(window.slowest),
@@ -84,8 +91,8 @@
 
     /// Adds windows, as many as one process keeps. Those of about the same time as one of its
     /// own become one with it, so that what is taken again changes nothing.
-    fn take(&mut self, told: &[WindowTold], now: Instant) {
-        for window in told.iter().take(WINDOWS) {
+    fn merge(&mut self, windows: &[WindowSnapshot], now: Instant) {
+        for window in windows.iter().take(WINDOWS) {
             let since = ago(now, window.age_ms);
             let count = window.count as usize;
             let slowest = Duration::from_millis(window.slowest_ms.into());
--- a/crates/gateway/src/fleet/merge.rs
+++ b/crates/gateway/src/fleet/merge.rs
@@ -3,13 +3,13 @@
 //! Of two rows of an id the store's version says which is newer, never the start: an
 //! upstream's clock may jump back between two starts.
 
-use super::{CONNECT_TIMEOUT, Fleet, Slot, Upstream, UpstreamKey, id_hash};
+use super::{ArenaSlot, CONNECT_TIMEOUT, Fleet, Upstream, UpstreamKey, id_hash};
 use net::{Meter, Pool};
 use platform::{Instance, Start};
 
 /// What the registry changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// An upstream is new, and may get requests.
     Added(UpstreamKey),
     /// An upstream has started again under its id; all that was known of the start before
@@ -23,33 +23,33 @@
     /// An upstream that was known says that it will stop.
     Draining(UpstreamKey),
     /// An engine that was known does something else with prompts.
-    Restaged(UpstreamKey),
+    StageChanged(UpstreamKey),
     /// Something else changed.
     Changed,
     /// Nothing changed.
-    Same,
+    Unchanged,
     /// The row is of a start that was replaced by another, and changes nothing.
-    Replaced,
+    StaleStart,
     /// The row tells no start, though others of its id did: it names no upstream.
-    Startless,
+    MissingStart,
 }
 
 impl Fleet {
     /// Takes an upstream's entry from the registry.
-    pub fn merge(&mut self, instance: Instance, meter: &Meter) -> Merged {
+    pub fn merge(&mut self, instance: Instance, meter: &Meter) -> MergeOutcome {
         let id = id_hash(&instance.id);
         let known = self.key_of(id);
         if known.is_some_and(|key| self.is_known_newer(key, &instance)) {
-            return Merged::Same;
+            return MergeOutcome::Unchanged;
         }
         match instance.start {
-            None if self.starts.is_known(id) => return Merged::Startless,
-            Some(start) if self.starts.is_replaced(id, start) => return Merged::Replaced,
-            Some(start) => self.starts.note(id, start),
+            None if self.starts.is_known(id) => return MergeOutcome::MissingStart,
+            Some(start) if self.starts.is_replaced(id, start) => return MergeOutcome::StaleStart,
+            Some(start) => self.starts.record(id, start),
             None => {}
         }
         let Some(key) = known else {
-            return Merged::Added(self.add(instance, meter, self.sees_starts));
+            return MergeOutcome::Added(self.add(instance, meter, self.new_caches_empty));
         };
         let before = self.get(key).and_then(|u| u.instance.start);
         if instance.start == before {
@@ -57,7 +57,7 @@
         }
         self.remove(key);
         let key = self.add(instance, meter, true);
-        Merged::Restarted { key, before }
+        MergeOutcome::Restarted { key, before }
     }
 
     /// Whether a row isn't newer than what is known of its id. That its start drains
@@ -73,10 +73,10 @@
     }
 
     /// Takes a row of the start that is known.
-    fn update(&mut self, key: UpstreamKey, instance: Instance, meter: &Meter) -> Merged {
-        let service = self.service(&instance.service);
+    fn update(&mut self, key: UpstreamKey, instance: Instance, meter: &Meter) -> MergeOutcome {
+        let service = self.intern_service(&instance.service);
         let Some(known) = self.get_mut(key) else {
-            return Merged::Same;
+            return MergeOutcome::Unchanged;
         };
         let starts_draining = instance.is_draining && !known.instance.is_draining;
         if instance.row <= known.instance.row {
@@ -84,7 +84,7 @@
             known.instance.is_draining = true;
             let after = instance_hash(&known.instance);
             self.view = self.view.wrapping_sub(before).wrapping_add(after);
-            return Merged::Draining(key);
+            return MergeOutcome::Draining(key);
         }
         let instance = Instance {
             // A registration that arrives late must not call a leaving one back.
@@ -93,40 +93,40 @@
         };
         let is_restaged = instance.stage != known.instance.stage;
         if is_restaged {
-            known.restaged(instance.stage);
+            known.handle_stage_change(instance.stage);
         }
         if instance.addr != known.instance.addr {
             known.pool.close_idle();
             known.pool = Pool::new(instance.addr, CONNECT_TIMEOUT).metered(meter);
         }
         known.service = service;
-        let is_changed = !says_the_same(&instance, &known.instance);
+        let is_changed = !is_equal_except_row(&instance, &known.instance);
         let before = instance_hash(&known.instance);
         known.instance = instance;
         let after = instance_hash(&known.instance);
         self.view = self.view.wrapping_sub(before).wrapping_add(after);
         match (starts_draining, is_restaged, is_changed) {
-            (true, ..) => Merged::Draining(key),
-            (false, true, _) => Merged::Restaged(key),
-            (false, false, true) => Merged::Changed,
-            (false, false, false) => Merged::Same,
+            (true, ..) => MergeOutcome::Draining(key),
+            (false, true, _) => MergeOutcome::StageChanged(key),
+            (false, false, true) => MergeOutcome::Changed,
+            (false, false, false) => MergeOutcome::Unchanged,
         }
     }
 
     fn add(&mut self, instance: Instance, meter: &Meter, has_just_started: bool) -> UpstreamKey {
-        let service = self.service(&instance.service);
+        let service = self.intern_service(&instance.service);
         self.view = self.view.wrapping_add(instance_hash(&instance));
         let pool = Pool::new(instance.addr, CONNECT_TIMEOUT).metered(meter);
         let upstream = Upstream::new(service, instance, pool, has_just_started);
         let (hash, tag) = (upstream.hash, upstream.tag());
-        let index = self.free.pop().unwrap_or_else(|| {
-            self.slots.push(Slot {
+        let index = self.free_slots.pop().unwrap_or_else(|| {
+            self.arena.push(ArenaSlot {
                 generation: 0,
                 upstream: None,
             });
-            self.slots.len() as u32 - 1
+            self.arena.len() as u32 - 1
         });
-        let slot = &mut self.slots[index as usize];
+        let slot = &mut self.arena[index as usize];
         slot.generation += 1;
         slot.upstream = Some(upstream);
         let key = UpstreamKey {
@@ -148,16 +148,16 @@
         }
         // Two upstreams may have one tag, so the key decides.
         self.by_tag.retain(|(_, tagged)| *tagged != key);
-        self.free.push(key.index);
-        let gone = self.slots[key.index as usize].upstream.take()?;
-        gone.pool.close_idle();
-        self.view = self.view.wrapping_sub(instance_hash(&gone.instance));
-        Some(gone)
+        self.free_slots.push(key.index);
+        let removed = self.arena[key.index as usize].upstream.take()?;
+        removed.pool.close_idle();
+        self.view = self.view.wrapping_sub(instance_hash(&removed.instance));
+        Some(removed)
     }
 }
 
 /// Whether two rows of a start say the same.
-fn says_the_same(a: &Instance, b: &Instance) -> bool {
+fn is_equal_except_row(a: &Instance, b: &Instance) -> bool {
     let row = a.row;
     *a == Instance { row, ..b.clone() }
 }
--- a/crates/gateway/src/fleet/starts.rs
+++ b/crates/gateway/src/fleet/starts.rs
@@ -15,7 +15,7 @@
 
 /// The starts of one id.
 #[derive(Debug)]
-struct Known {
+struct IdStarts {
     /// Hash of the id.
     id: u64,
     /// The last start that was taken.
@@ -28,14 +28,14 @@
 
 /// The starts of all ids that told any.
 #[derive(Debug, Default)]
-pub(super) struct Starts {
+pub(super) struct StartHistory {
     /// Sorted by id.
-    all: Vec<Known>,
+    all: Vec<IdStarts>,
     changes: u64,
 }
 
-impl Starts {
-    fn get(&self, id: u64) -> Option<&Known> {
+impl StartHistory {
+    fn get(&self, id: u64) -> Option<&IdStarts> {
         let at = self.all.binary_search_by_key(&id, |k| k.id);
         at.ok().map(|at| &self.all[at])
     }
@@ -51,25 +51,25 @@
     }
 
     /// Notes the start of an id that is in use now.
-    pub(super) fn note(&mut self, id: u64, start: Start) {
+    pub(super) fn record(&mut self, id: u64, start: Start) {
         self.changes += 1;
         let change = self.changes;
         match self.all.binary_search_by_key(&id, |k| k.id) {
             Ok(at) => self.all[at].replace(start, change),
             Err(at) => {
-                let known = Known {
+                let known = IdStarts {
                     id,
                     last: start,
                     replaced: VecDeque::new(),
                     change,
                 };
                 self.all.insert(at, known);
-                self.shrink();
+                self.evict();
             }
         }
     }
 
-    fn shrink(&mut self) {
+    fn evict(&mut self) {
         if self.all.len() <= MAX_IDS {
             return;
         }
@@ -80,7 +80,7 @@
     }
 }
 
-impl Known {
+impl IdStarts {
     fn replace(&mut self, start: Start, change: u64) {
         if start == self.last {
             return;
--- a/crates/gateway/src/fleet/upstream.rs
+++ b/crates/gateway/src/fleet/upstream.rs
@@ -1,7 +1,7 @@
 //! One upstream, as this process believes it to be.
 
-use super::cache::Cache;
-use super::speed::{Slowdown, Work};
+use super::cache::CacheEstimate;
+use super::latency::{Backlog, Slowdown};
 use super::{ServiceKey, id_hash, tag_of};
 use crate::peers::Load;
 use net::Pool;
@@ -11,10 +11,10 @@
 
 /// How long after this process has read an engine's new stage its peers have read
 /// it too: they hear of a new version at once, and ask each 0.2 s.
-const REGISTRY_SPREADS: Duration = Duration::from_millis(500);
+const REGISTRY_PROPAGATION: Duration = Duration::from_millis(500);
 
 /// Time without an answer after which an upstream where requests wait may be cut off.
-const SILENT: Duration = Duration::from_secs(1);
+const SILENT_AFTER: Duration = Duration::from_secs(1);
 
 /// One start of an upstream.
 #[derive(Debug)]
@@ -37,36 +37,36 @@
     /// Uncached tokens of those that wait.
     pub tokens: u32,
     /// The same for all other processes of the system, as they last said.
-    pub others: Others,
+    pub peer_load: PeerLoad,
     /// Of the running requests, those that stream long answers.
     pub streams: u32,
     /// When the latest request was sent that it has answered: it lived then.
-    pub lived_at: Option<Instant>,
+    pub alive_at: Option<Instant>,
     /// What came of the last requests.
     pub health: Health,
     /// How much slower it is than its kind.
     pub slowdown: Slowdown,
     /// Until when it is taken to be away for a change of its stage, and the stage
     /// that it was ordered to have, if this process ordered it.
-    change: Option<Change>,
+    change: Option<StageChange>,
     /// When this process last read a new stage of it.
-    restaged_at: Option<Instant>,
+    stage_changed_at: Option<Instant>,
     /// Prompt parts that it is taken to hold.
-    pub(super) cache: Cache,
+    pub(super) cache: CacheEstimate,
     /// Whether this process has known it since it was empty.
-    pub(super) is_known_from_start: bool,
+    pub(super) is_cache_known: bool,
 }
 
 /// A change of an engine's stage that is going on.
 #[derive(Debug, Clone, Copy)]
-struct Change {
+struct StageChange {
     until: Instant,
     ordered: Option<Stage>,
 }
 
 /// Load at an upstream that comes from other processes of the system, summed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Others {
+pub struct PeerLoad {
     /// Requests whose first byte hasn't come yet.
     pub waiting: u32,
     /// Uncached tokens of those that wait.
@@ -77,7 +77,7 @@
     pub streams: u32,
 }
 
-impl Others {
+impl PeerLoad {
     /// Adds what a process says of its load.
     pub fn add(&mut self, load: &Load) {
         // A peer may say anything.
@@ -88,7 +88,7 @@
     }
 
     /// Takes off what the process said before.
-    pub fn take_off(&mut self, load: &Load) {
+    pub fn subtract(&mut self, load: &Load) {
         self.waiting = self.waiting.saturating_sub(u32::from(load.waiting));
         self.tokens = self.tokens.saturating_sub(load.tokens);
         self.running = self.running.saturating_sub(u32::from(load.running));
@@ -103,7 +103,7 @@
         service: ServiceKey,
         instance: Instance,
         pool: Pool,
-        is_known_from_start: bool,
+        is_cache_known: bool,
     ) -> Self {
         Self {
             service,
@@ -113,15 +113,15 @@
             running: 0,
             waiting: 0,
             tokens: 0,
-            others: Others::default(),
+            peer_load: PeerLoad::default(),
             streams: 0,
-            lived_at: None,
+            alive_at: None,
             health: Health::default(),
             slowdown: Slowdown::default(),
             change: None,
-            restaged_at: None,
-            cache: Cache::default(),
-            is_known_from_start,
+            stage_changed_at: None,
+            cache: CacheEstimate::default(),
+            is_cache_known,
             instance,
         }
     }
@@ -130,7 +130,7 @@
     /// until a time, unless the registry shows the new stage before.
     pub fn set_changing(&mut self, until: Instant, stage: Stage) {
         let ordered = Some(stage);
-        self.change = Some(Change { until, ordered });
+        self.change = Some(StageChange { until, ordered });
     }
 
     /// Notes that it doesn't change its stage after all.
@@ -139,7 +139,7 @@
     }
 
     /// For how much longer it is away for a change of its stage; none if it isn't.
-    pub fn away_for(&self, now: Instant) -> Option<Duration> {
+    pub fn change_remaining(&self, now: Instant) -> Option<Duration> {
         let change = self.change.filter(|c| now < c.until)?;
         Some(change.until - now)
     }
@@ -156,61 +156,61 @@
 
     /// Whether it is away for a change of its stage.
     pub fn is_changing(&self, now: Instant) -> bool {
-        self.away_for(now).is_some()
+        self.change_remaining(now).is_some()
     }
 
     /// Takes a peer's word that it is away until a time. Just after its new stage was
     /// read, peers that haven't read it yet still say so.
-    pub fn peer_says_changing(&mut self, until: Instant, now: Instant) {
+    pub fn set_changing_by_peer(&mut self, until: Instant, now: Instant) {
         let is_over = self
-            .restaged_at
-            .is_some_and(|at| now < at + REGISTRY_SPREADS * 2);
+            .stage_changed_at
+            .is_some_and(|at| now < at + REGISTRY_PROPAGATION * 2);
         if is_over {
             return;
         }
         if self.change.is_none_or(|c| c.ordered.is_none()) {
             let ordered = None;
-            self.change = Some(Change { until, ordered });
+            self.change = Some(StageChange { until, ordered });
         }
     }
 
     /// Takes the stage that the registry shows. An ordered change is over, but for
     /// the time in which the others read the registry.
-    pub(super) fn restaged(&mut self, stage: Option<Stage>) {
+    pub(super) fn handle_stage_change(&mut self, stage: Option<Stage>) {
         let now = Instant::now();
-        self.restaged_at = Some(now);
+        self.stage_changed_at = Some(now);
         self.cache.clear();
-        self.is_known_from_start = true;
+        self.is_cache_known = true;
         self.slowdown = Slowdown::default();
         if let Some(change) = &mut self.change
             && (change.ordered.is_none() || change.ordered == stage)
         {
-            change.until = change.until.min(now + REGISTRY_SPREADS);
+            change.until = change.until.min(now + REGISTRY_PROPAGATION);
         }
     }
 
     /// Whether it only reads prompts.
-    pub fn reads_only(&self) -> bool {
+    pub fn is_prefill_only(&self) -> bool {
         self.instance.stage == Some(Stage::Prefill)
     }
 
     /// Requests that wait there for their first byte, of all processes.
     pub fn all_waiting(&self) -> u32 {
-        self.waiting.saturating_add(self.others.waiting)
+        self.waiting.saturating_add(self.peer_load.waiting)
     }
 
     /// Uncached tokens that wait there, of all processes.
-    pub fn reading_tokens(&self) -> u32 {
-        self.tokens.saturating_add(self.others.tokens)
+    pub fn all_waiting_tokens(&self) -> u32 {
+        self.tokens.saturating_add(self.peer_load.tokens)
     }
 
     /// What it has to do until the first byte of a prompt that is sent now.
-    pub fn work(&self, uncached: u32) -> Work {
-        let tokens = self.reading_tokens().saturating_add(uncached);
-        Work {
+    pub fn backlog(&self, uncached: u32) -> Backlog {
+        let tokens = self.all_waiting_tokens().saturating_add(uncached);
+        Backlog {
             prompts: f64::from(self.all_waiting()),
             tokens: f64::from(tokens),
-            turns: self.turns(),
+            slot_turnovers: self.slot_turnovers(),
         }
     }
 
@@ -221,31 +221,31 @@
     /// On a loaded day the work that waits explains 0.22 of the variance of first
     /// bytes at generating engines, with the turns 0.39; estimates with them earn
     /// 0.003 to 0.02 more of what is owed (one run a site).
-    fn turns(&self) -> f64 {
-        if self.reads_only() {
+    fn slot_turnovers(&self) -> f64 {
+        if self.is_prefill_only() {
             return 0.0;
         }
         let slots = self.instance.slots;
-        let without = self.all_running().saturating_add(1).saturating_sub(slots);
-        let changing = slots.saturating_sub(self.all_streams()).max(1);
-        f64::from(without) / f64::from(changing)
+        let excess = self.all_running().saturating_add(1).saturating_sub(slots);
+        let available = slots.saturating_sub(self.all_streams()).max(1);
+        f64::from(excess) / f64::from(available)
     }
 
     /// Whether requests of this process wait there, and none that was sent lately was
     /// answered.
     pub fn is_silent(&self, now: Instant) -> bool {
-        let is_long_ago = |at: Instant| now.saturating_duration_since(at) >= SILENT;
-        self.waiting > 0 && self.lived_at.is_none_or(is_long_ago)
+        let is_long_ago = |at: Instant| now.saturating_duration_since(at) >= SILENT_AFTER;
+        self.waiting > 0 && self.alive_at.is_none_or(is_long_ago)
     }
 
     /// Requests that run there, of all processes.
     pub fn all_running(&self) -> u32 {
-        self.running.saturating_add(self.others.running)
+        self.running.saturating_add(self.peer_load.running)
     }
 
     /// Long answers that are streamed there, to clients of all processes.
     pub fn all_streams(&self) -> u32 {
-        self.streams.saturating_add(self.others.streams)
+        self.streams.saturating_add(self.peer_load.streams)
     }
 
     /// What this process says of its load there; none if there is none.
@@ -253,9 +253,9 @@
         (self.running > 0).then(|| Load {
             upstream: self.tag(),
             tokens: self.tokens,
-            waiting: small(self.waiting),
-            running: small(self.running),
-            streams: small(self.streams),
+            waiting: saturate_u16(self.waiting),
+            running: saturate_u16(self.running),
+            streams: saturate_u16(self.streams),
         })
     }
 
@@ -271,6 +271,6 @@
 }
 
 /// A count as it is told to peers; none of ours comes near the bound.
-fn small(count: u32) -> u16 {
+fn saturate_u16(count: u32) -> u16 {
     u16::try_from(count).unwrap_or(u16::MAX)
 }
--- a/crates/gateway/src/follow/registry.rs
+++ b/crates/gateway/src/follow/registry.rs
@@ -4,8 +4,8 @@
 //! fetch it themselves when these fall silent.
 
 use super::{ANSWER_TIMEOUT, Client, Dependency, READERS, tell_malformed};
-use crate::fleet::{Fleet, Merged, UpstreamKey};
-use crate::missing::Missing;
+use crate::fleet::{Fleet, MergeOutcome, UpstreamKey};
+use crate::missing::MissingUpstreams;
 use crate::state::Gateway;
 use net::Meter;
 use observe::{Event, emit};
@@ -59,7 +59,7 @@
             Ok(change) => {
                 let (asked_at, store_ms) = *first_asked.get_or_insert((asked_at, change.now_ms));
                 if let Some(last_bad) = dependency.good() {
-                    gateway.missing().open(last_bad);
+                    gateway.missing().begin_grace_period(last_bad);
                 }
                 tell_malformed("registry", change.malformed);
                 pages.extend(change.items);
@@ -136,7 +136,7 @@
             Some(place) => OLD_REGISTRY_AGE + REGISTRY_AGE_PER_PLACE * place.min(MAX_PLACES),
         };
         let mut left = bound.saturating_sub(gateway.registry_age());
-        if let Some(until) = gateway.missing().until() {
+        if let Some(until) = gateway.missing().expires_at() {
             // What hasn't come back by then must be gone at once.
             left = left.min(until.saturating_duration_since(Instant::now()));
         }
@@ -163,29 +163,29 @@
         false => take_present(gateway, changes, is_whole, version),
     };
     let mut missing = gateway.missing();
-    let mut gone = match missing.is_open(now) {
+    let mut gone = match missing.is_in_grace_period(now) {
         true => hold_back(&mut missing, gone, version),
         false => gone,
     };
-    gone.append(&mut missing.take_overdue(now));
+    gone.append(&mut missing.take_expired(now));
     drop(missing);
     for id in &gone {
         remove(gateway, id, GONE, version);
     }
     if !is_old {
         gateway.set_registry(version);
-        gateway.fleet().see_starts();
+        gateway.fleet().assume_empty_caches();
     }
 }
 
 /// Keeps upstreams that may come back; gives none, as none is gone yet.
-fn hold_back(missing: &mut Missing, gone: Vec<String>, registry: u64) -> Vec<String> {
+fn hold_back(missing: &mut MissingUpstreams, gone: Vec<String>, registry: u64) -> Vec<String> {
     for id in gone {
         emit(&Event::UpstreamMissing {
             upstream: &id,
             registry,
         });
-        missing.hold(id);
+        missing.add(id);
     }
     Vec::new()
 }
@@ -204,13 +204,13 @@
     }
     let gone = take_present(gateway, changes, is_whole, version);
     for id in &gone {
-        gateway.missing().found(id);
+        gateway.missing().remove(id);
     }
     for id in &gone {
         remove(gateway, id, GONE, version);
     }
     gateway.set_registry(version);
-    gateway.fleet().see_starts();
+    gateway.fleet().assume_empty_caches();
 }
 
 /// Takes the upstreams that are present; gives those that are gone.
@@ -228,14 +228,14 @@
     for change in changes {
         match change {
             Registration::Present(instance) => {
-                gateway.missing().found(&instance.id);
+                gateway.missing().remove(&instance.id);
                 gone.retain(|id| *id != instance.id);
                 add(gateway, instance, version, &gateway.upstream_bytes);
             }
             Registration::Removed { id } => gone.push(id),
             Registration::Unreadable(row) => {
                 // Its entry is there, so it can't come back as one that lapsed may.
-                gateway.missing().found(&row.id);
+                gateway.missing().remove(&row.id);
                 gone.retain(|id| *id != row.id);
                 take_out(gateway, &row, version);
             }
@@ -264,10 +264,10 @@
     let mut fleet = gateway.fleet();
     let merged = fleet.merge(instance, meter);
     match merged {
-        Merged::Added(key) => tell_added(&fleet, key, registry),
-        Merged::Restarted { key, before } => tell_restarted(&fleet, key, before, registry),
-        Merged::Draining(key) => tell_leaving(&fleet, key, "draining", registry),
-        Merged::Restaged(key) => {
+        MergeOutcome::Added(key) => tell_added(&fleet, key, registry),
+        MergeOutcome::Restarted { key, before } => tell_restarted(&fleet, key, before, registry),
+        MergeOutcome::Draining(key) => tell_leaving(&fleet, key, "draining", registry),
+        MergeOutcome::StageChanged(key) => {
             let Some(u) = fleet.get(key) else { return };
             emit(&Event::StageChanged {
                 upstream: &u.instance.id,
@@ -275,9 +275,9 @@
                 registry,
             });
         }
-        Merged::Changed => {}
-        Merged::Same => return,
-        Merged::Replaced => {
+        MergeOutcome::Changed => {}
+        MergeOutcome::Unchanged => return,
+        MergeOutcome::StaleStart => {
             emit(&Event::UpstreamRowLate {
                 upstream: &id,
                 start: start.map(|Start(ms)| ms),
@@ -285,14 +285,14 @@
             });
             return;
         }
-        Merged::Startless => {
+        MergeOutcome::MissingStart => {
             drop(fleet);
             let why = Unreadable::Start;
             take_out(gateway, &UnreadableRow { id, row, why }, registry);
             return;
         }
     }
-    gateway.history().note(registry, &id);
+    gateway.history().record(registry, &id);
 }
 
 fn tell_added(fleet: &Fleet, key: UpstreamKey, registry: u64) {
@@ -350,6 +350,6 @@
     if let Some(key) = fleet.find(id) {
         tell_leaving(&fleet, key, why, registry);
         fleet.remove(key);
-        gateway.history().note(registry, id);
+        gateway.history().record(registry, id);
     }
 }
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -12,22 +12,22 @@
 
 /// The latest changes, oldest first.
 #[derive(Debug, Default)]
-pub struct History {
+pub struct ChangeHistory {
     /// Version up to which changes are no longer kept.
     from: u64,
     /// Versions and the ids of upstreams that changed by them.
     changes: VecDeque<(u64, String)>,
 }
 
-impl History {
+impl ChangeHistory {
     /// Starts anew at a version: what changed before it isn't known.
-    pub fn start(&mut self, version: u64) {
+    pub fn reset(&mut self, version: u64) {
         self.from = version;
         self.changes.clear();
     }
 
     /// Notes that a version changed an upstream. Versions never go back.
-    pub fn note(&mut self, version: u64, id: &str) {
+    pub fn record(&mut self, version: u64, id: &str) {
         self.changes.push_back((version, id.to_owned()));
         while self.changes.len() > MAX_CHANGES {
             if let Some((oldest, _)) = self.changes.pop_front() {
@@ -38,7 +38,7 @@
 
     /// Ids of the upstreams that changed after a version, each once, sorted; none if
     /// that isn't known.
-    pub fn since(&self, version: u64) -> Option<Vec<&str>> {
+    pub fn changed_since(&self, version: u64) -> Option<Vec<&str>> {
         if version < self.from {
             return None;
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -65,7 +65,7 @@
         admin: ready.to_string(),
     });
     if gateway.host().is_first_start {
-        gateway.fleet().see_starts();
+        gateway.fleet().assume_empty_caches();
     }
     tokio::spawn(follow::follow_config(gateway.clone()));
     tokio::spawn(follow::follow_registry(gateway.clone()));
@@ -73,7 +73,7 @@
     tokio::spawn(crashes::rows::write(gateway.clone()));
     let exchange = peers::exchange::start(&gateway)?;
     tokio::spawn(peers::membership::follow(gateway.clone()));
-    tokio::spawn(division::orders::follow(gateway.clone()));
+    tokio::spawn(division::orders::run(gateway.clone()));
     duty::usage::exchange::start(&gateway)?;
     quota::start(&gateway)?;
     tokio::spawn(duty::usage::follow(gateway.clone()));
--- a/crates/gateway/src/missing.rs
+++ b/crates/gateway/src/missing.rs
@@ -15,41 +15,41 @@
 
 /// Upstreams that are missing and may come back.
 #[derive(Debug, Default)]
-pub struct Missing {
+pub struct MissingUpstreams {
     until: Option<Instant>,
     ids: Vec<String>,
 }
 
-impl Missing {
+impl MissingUpstreams {
     /// The store is back: entries may have lapsed meanwhile. Reads failed until
     /// `last_bad`.
-    pub fn open(&mut self, last_bad: Instant) {
+    pub fn begin_grace_period(&mut self, last_bad: Instant) {
         self.until = Some(last_bad + RETURN_GRACE);
     }
 
     /// When what is held back must have come back; none if nothing is.
-    pub fn until(&self) -> Option<Instant> {
+    pub fn expires_at(&self) -> Option<Instant> {
         self.until.filter(|_| !self.ids.is_empty())
     }
 
     /// Whether what is missing at a time may come back.
-    pub fn is_open(&self, now: Instant) -> bool {
+    pub fn is_in_grace_period(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     /// Holds back an upstream that is missing.
-    pub fn hold(&mut self, id: String) {
+    pub fn add(&mut self, id: String) {
         self.ids.push(id);
     }
 
     /// Notes that an upstream is there.
-    pub fn found(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         self.ids.retain(|missing| missing != id);
     }
 
     /// Takes out the upstreams that haven't come back in time.
-    pub fn take_overdue(&mut self, now: Instant) -> Vec<String> {
-        if self.is_open(now) {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<String> {
+        if self.is_in_grace_period(now) {
             return Vec::new();
         }
         std::mem::take(&mut self.ids)
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -188,17 +188,17 @@
         });
         peer.take_off(fleet);
         for load in &beat.loads {
-            if let Some(upstream) = fleet.find_tag(load.upstream) {
-                upstream.others.add(load);
+            if let Some(upstream) = fleet.get_mut_by_tag(load.upstream) {
+                upstream.peer_load.add(load);
             }
         }
         for changing in &beat.changing {
-            if let Some(upstream) = fleet.find_tag(changing.upstream) {
+            if let Some(upstream) = fleet.get_mut_by_tag(changing.upstream) {
                 let left = Duration::from_millis(changing.left_ms.into());
-                upstream.peer_says_changing(now + left, now);
+                upstream.set_changing_by_peer(now + left, now);
             }
         }
-        fleet.take_placements(&beat.placements, beat.scope != Scope::Direct, now);
+        fleet.merge_placements(&beat.placements, beat.scope != Scope::Direct, now);
         peer.heard_at = Some(now);
         peer.asked_at = None;
         peer.avoided_until = None;
@@ -405,8 +405,8 @@
         };
         let had_some = std::mem::take(&mut beat.processes) > 0 || !beat.loads.is_empty();
         for load in std::mem::take(&mut beat.loads) {
-            if let Some(upstream) = fleet.find_tag(load.upstream) {
-                upstream.others.take_off(&load);
+            if let Some(upstream) = fleet.get_mut_by_tag(load.upstream) {
+                upstream.peer_load.subtract(&load);
             }
         }
         had_some
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -4,7 +4,7 @@
 //! Of the registry only what has changed is told, where the peer knows that. Its hash
 //! of all that it knows shows whether that was enough; else all of it is fetched.
 
-use crate::fleet::durations::Told;
+use crate::fleet::durations::DurationSnapshot;
 use crate::follow;
 use crate::peers::first_look::{self, Snapshot};
 use crate::peers::{Beat, Member};
@@ -183,10 +183,10 @@
 
 /// Takes from a peer how long answers take; says whether it has seen any.
 async fn take_durations_of(gateway: &Gateway, ip: IpAddr) -> bool {
-    let Some(told) = fetch::<Vec<Told>>(gateway, ip, DURATIONS_PATH).await else {
+    let Some(told) = fetch::<Vec<DurationSnapshot>>(gateway, ip, DURATIONS_PATH).await else {
         return false;
     };
-    gateway.fleet().take_durations(&told, Instant::now());
+    gateway.fleet().merge_durations(&told, Instant::now());
     !told.is_empty()
 }
 
@@ -321,7 +321,7 @@
 }
 
 fn durations(gateway: &Gateway) -> Vec<u8> {
-    let told = gateway.fleet().told_durations(Instant::now());
+    let told = gateway.fleet().duration_snapshots(Instant::now());
     wire::encode_compact(&told)
 }
 
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -207,7 +207,7 @@
         view: settled.map_or(0, |r| r.view),
         loads,
         changing: fleet.changing(now),
-        placements: fleet.new_placements(placements_within, now),
+        placements: fleet.recent_placements(placements_within, now),
         crashes: crashes::news(gateway, now),
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::account::Account;
 use crate::answer::{Outcome, Reason};
-use crate::attempt::{Rest, Started, Tried, tell_failed};
+use crate::attempt::{AttemptResult, BodyRest, StartedAnswer, log_failed_attempt};
 use crate::crashes;
 use crate::crashes::broken::connection_broke;
 use crate::crashes::unanswered;
@@ -18,14 +18,14 @@
 use std::time::{Duration, Instant};
 
 /// Pieces of an answer that wait for a slow client before its upstream does.
-const MAX_AHEAD: usize = 8;
+const MAX_BUFFERED_CHUNKS: usize = 8;
 /// Time after its end in which a stream's bytes are still passed on: those that are on their
 /// way through this process, so that an answer that has just ended is delivered.
-const LAST_BYTES: Duration = Duration::from_millis(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// Answers the client with what an upstream answers.
-pub fn pass_on(call: Call, mut account: Account, started: Started) -> Response<Body> {
-    account.first = Some(account.since.elapsed());
+pub fn relay_answer(call: Call, mut account: Account, started: StartedAnswer) -> Response<Body> {
+    account.first_byte_after = Some(account.received_at.elapsed());
     account.status = started.status.as_u16();
     let headers = header::to_client(&started.headers);
     let is_framed = is_framed(&started.headers);
@@ -39,10 +39,10 @@
             full(started.first.unwrap_or_default())
         }
         Some(rest) => {
-            let (tx, body) = stream(MAX_AHEAD);
+            let (tx, body) = stream(MAX_BUFFERED_CHUNKS);
             let is_resumable = call.target().route.kind == RouteKind::ResumableStream
                 && started.status.is_success();
-            let pump = Pump {
+            let stream_relay = StreamRelay {
                 _streamed: call.streamed(),
                 cutter: is_resumable.then(|| EventCutter::after(call.last_event)),
                 call,
@@ -50,10 +50,10 @@
                 tx,
                 load: started.load,
                 unsent: None,
-                waited: Duration::ZERO,
+                client_wait: Duration::ZERO,
                 is_framed,
             };
-            tokio::spawn(pump.run(started.first, rest));
+            tokio::spawn(stream_relay.run(started.first, rest));
             body
         }
     };
@@ -64,7 +64,7 @@
 }
 
 /// Moves a stream from its upstream to the client.
-struct Pump {
+struct StreamRelay {
     call: Call,
     account: Account,
     tx: BodySender,
@@ -72,7 +72,7 @@
     /// What came of the upstream and waits to be sent.
     unsent: Option<Bytes>,
     /// How long that has waited for the client in all.
-    waited: Duration,
+    client_wait: Duration,
     _streamed: StreamedGuard,
     /// Whether the answer's end shows: one that ends with its connection looks whole also
     /// when its upstream has crashed.
@@ -86,47 +86,47 @@
 }
 
 /// How a stream ended on one side.
-enum End {
+enum StreamEnd {
     /// The upstream ended it as whole.
     Whole,
     /// The upstream broke off.
     Broken(String),
     /// The client has gone.
-    Gone,
+    ClientGone,
     /// The route's timeout or the client's deadline is up, or the process ends.
-    TimeOver(Reason),
+    TimedOut(Reason),
 }
 
-impl Pump {
-    async fn run(mut self, first: Option<Bytes>, rest: Rest) {
+impl StreamRelay {
+    async fn run(mut self, first: Option<Bytes>, rest: BodyRest) {
         let mut next = Some((first, Some(rest)));
         while let Some((first, rest)) = next.take() {
             let end = match rest {
                 Some(rest) => self.copy(first, rest).await,
                 // It broke off after its last event: nothing is left to come.
-                None => End::Whole,
+                None => StreamEnd::Whole,
             };
             match end {
-                End::Whole => {
+                StreamEnd::Whole => {
                     if self.is_framed {
                         crashes::answered(&self.call);
                     }
-                    self.call.note_duration(&self.account, self.waited);
+                    self.call.note_duration(&self.account, self.client_wait);
                     self.tx.finish().await;
                     self.account.close(Outcome::Answered, None);
                     return;
                 }
-                End::Gone => {
+                StreamEnd::ClientGone => {
                     let outcome = self.account.outcome();
                     self.account.close(outcome, Some(Reason::ClientGone));
                     return;
                 }
-                End::TimeOver(why) => {
+                StreamEnd::TimedOut(why) => {
                     unanswered::timed_out(&self.call, &mut self.account);
                     self.account.close(Outcome::BrokenOff, Some(why));
                     return;
                 }
-                End::Broken(why) => next = self.resume(why).await,
+                StreamEnd::Broken(why) => next = self.resume(why).await,
             }
         }
         // The sender is dropped without an end, so the client sees a broken answer.
@@ -135,8 +135,8 @@
     }
 
     /// Copies one upstream's bytes until they end or the time is up.
-    async fn copy(&mut self, first: Option<Bytes>, mut rest: Rest) -> End {
-        let over = self.call.time_over(Answer::Begun);
+    async fn copy(&mut self, first: Option<Bytes>, mut rest: BodyRest) -> StreamEnd {
+        let time_over = self.call.time_over(Answer::Begun);
         self.unsent = match first.map(|data| self.cut(data)) {
             None => None,
             Some(Ok(data)) => Some(data),
@@ -145,27 +145,27 @@
         let end = tokio::select! {
             // First what has arrived: an answer that is there is delivered.
             biased;
-            end = self.copy_untimed(&mut rest) => end,
-            why = over => {
-                let last = self.copy_untimed(&mut rest);
-                let last = tokio::time::timeout(LAST_BYTES, last).await;
-                match last {
-                    Ok(end @ (End::Whole | End::Gone)) => end,
+            end = self.copy_until_end(&mut rest) => end,
+            why = time_over => {
+                let drained = self.copy_until_end(&mut rest);
+                let drained = tokio::time::timeout(DRAIN_TIMEOUT, drained).await;
+                match drained {
+                    Ok(end @ (StreamEnd::Whole | StreamEnd::ClientGone)) => end,
                     // Upstreams break off at the same deadline: that is no reason to ask
                     // another.
-                    Ok(_) | Err(_) => End::TimeOver(why),
+                    Ok(_) | Err(_) => StreamEnd::TimedOut(why),
                 }
             }
         };
-        if matches!(end, End::Whole) {
-            rest.done();
+        if matches!(end, StreamEnd::Whole) {
+            rest.finish();
         }
         end
     }
 
     /// Copies an upstream's bytes until they end. Dropped midway, it goes on where it was
     /// when it is called again.
-    async fn copy_untimed(&mut self, rest: &mut Rest) -> End {
+    async fn copy_until_end(&mut self, rest: &mut BodyRest) -> StreamEnd {
         loop {
             if let Err(end) = self.send_unsent().await {
                 return end;
@@ -173,11 +173,11 @@
             let frame = tokio::select! {
                 biased;
                 frame = rest.body.frame() => frame,
-                () = self.tx.closed() => return End::Gone,
+                () = self.tx.closed() => return StreamEnd::ClientGone,
             };
             match frame {
                 None => break,
-                Some(Err(e)) => return End::Broken(e.to_string()),
+                Some(Err(e)) => return StreamEnd::Broken(e.to_string()),
                 Some(Ok(frame)) => match frame.into_data().map(|data| self.cut(data)) {
                     Ok(Ok(data)) => self.unsent = Some(data),
                     Ok(Err(end)) => return end,
@@ -187,29 +187,32 @@
             }
         }
         if self.cutter.as_ref().is_some_and(EventCutter::is_mid_event) {
-            return End::Broken("ended in the middle of an event".into());
+            return StreamEnd::Broken("ended in the middle of an event".into());
         }
-        End::Whole
+        StreamEnd::Whole
     }
 
     /// What the client gets of an upstream's bytes: of a stream that may go on elsewhere
     /// whole events only.
-    fn cut(&mut self, data: Bytes) -> Result<Bytes, End> {
+    fn cut(&mut self, data: Bytes) -> Result<Bytes, StreamEnd> {
         match &mut self.cutter {
             Some(cutter) => cutter
                 .push(&data)
-                .map_err(|e| End::Broken(format!("malformed stream: {e:?}"))),
+                .map_err(|e| StreamEnd::Broken(format!("malformed stream: {e:?}"))),
             None => Ok(data),
         }
     }
 
     /// Sends the client what it hasn't got yet. A client that stops reading must not hold
     /// its upstream's slot, so this may be dropped while it waits.
-    async fn send_unsent(&mut self) -> Result<(), End> {
+    async fn send_unsent(&mut self) -> Result<(), StreamEnd> {
         if let Some(data) = self.unsent.clone().filter(|data| !data.is_empty()) {
             let since = Instant::now();
-            self.tx.send(data).await.map_err(|_| End::Gone)?;
-            self.waited += since.elapsed();
+            self.tx
+                .send(data)
+                .await
+                .map_err(|_| StreamEnd::ClientGone)?;
+            self.client_wait += since.elapsed();
         }
         self.unsent = None;
         Ok(())
@@ -217,9 +220,9 @@
 
     /// Goes on at another upstream after the last event that was passed on; none
     /// if that isn't allowed or doesn't come about.
-    async fn resume(&mut self, why: String) -> Option<(Option<Bytes>, Option<Rest>)> {
-        let elapsed = self.account.since.elapsed();
-        tell_failed(&self.account, Outcome::BrokenOff.name(), &why, elapsed);
+    async fn resume(&mut self, why: String) -> Option<(Option<Bytes>, Option<BodyRest>)> {
+        let elapsed = self.account.received_at.elapsed();
+        log_failed_attempt(&self.account, Outcome::BrokenOff.name(), &why, elapsed);
         connection_broke(&self.call, &mut self.account);
         let cutter = self.cutter.as_ref()?;
         self.call.last_event = cutter.last_id().or(self.call.last_event);
@@ -228,7 +231,7 @@
             tried = self.call.retry(&mut self.account) => tried,
             () = self.tx.closed() => return None,
         };
-        let Tried::Started(started) = tried? else {
+        let AttemptResult::Started(started) = tried? else {
             return None;
         };
         let started = *started;
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -7,7 +7,7 @@
 
 /// A route with its services resolved.
 #[derive(Debug)]
-pub struct Target {
+pub struct ResolvedRoute {
     /// The route as configured.
     pub route: Route,
     /// Services that share its requests, with their weights.
@@ -24,7 +24,7 @@
     /// The configuration as it was read, for peers that can't reach the store.
     pub config: Config,
     /// Sorted by host, then by prefix.
-    targets: Vec<Target>,
+    targets: Vec<ResolvedRoute>,
     /// None if requests need no key.
     tenants: Option<TenantTable>,
 }
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Caller {
     /// No tenants are in force.
-    Any,
+    Unrestricted,
     /// Nobody's that is known, on a route that is open to all.
-    Unnamed,
+    Anonymous,
     /// A tenant's.
     Tenant(TenantKey),
 }
@@ -58,14 +58,14 @@
         for service in &config.services {
             fleet.configure(service);
         }
-        let mut targets: Vec<Target> = config
+        let mut targets: Vec<ResolvedRoute> = config
             .routes
             .iter()
-            .map(|route| Target {
+            .map(|route| ResolvedRoute {
                 shares: route
                     .shares
                     .iter()
-                    .map(|s| (fleet.service(&s.service), s.weight))
+                    .map(|s| (fleet.intern_service(&s.service), s.weight))
                     .collect(),
                 route: route.clone(),
             })
@@ -91,15 +91,15 @@
     }
 
     /// Whose a request with a key is, if it may go to a route.
-    pub fn admit(&self, target: &Target, key: Option<ApiKey>) -> Result<Caller, Denied> {
+    pub fn admit(&self, target: &ResolvedRoute, key: Option<ApiKey>) -> Result<Caller, Denied> {
         let Some(tenants) = &self.tenants else {
-            return Ok(Caller::Any);
+            return Ok(Caller::Unrestricted);
         };
         if let Some(tenant) = key.and_then(|key| tenants.holder(key)) {
             return Ok(Caller::Tenant(tenant));
         }
         if target.route.is_open {
-            return Ok(Caller::Unnamed);
+            return Ok(Caller::Anonymous);
         }
         Err(match key {
             None => Denied::NoKey,
@@ -112,7 +112,7 @@
     pub fn tenant(&self, caller: Caller) -> Option<&TenantInfo> {
         match caller {
             Caller::Tenant(tenant) => Some(self.tenants.as_ref()?.get(tenant)),
-            Caller::Any | Caller::Unnamed => None,
+            Caller::Unrestricted | Caller::Anonymous => None,
         }
     }
 
@@ -130,14 +130,14 @@
     ///
     /// Prefixes end with a slash, so only those that end at one of the path's
     /// slashes can match: each of these is looked up, longest first.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Target> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&ResolvedRoute> {
         let slashes = path.rmatch_indices('/').map(|(at, _)| at);
         slashes
             .map(|at| &path[..=at])
-            .find_map(|prefix| self.exact(host, prefix))
+            .find_map(|prefix| self.find_exact(host, prefix))
     }
 
-    fn exact(&self, host: &str, prefix: &str) -> Option<&Target> {
+    fn find_exact(&self, host: &str, prefix: &str) -> Option<&ResolvedRoute> {
         let at = self
             .targets
             .binary_search_by(|t| t.key().cmp(&(host, prefix)));
@@ -145,13 +145,13 @@
     }
 }
 
-impl Target {
+impl ResolvedRoute {
     fn key(&self) -> (&str, &str) {
         (&self.route.host, &self.route.path_prefix)
     }
 
     /// Draws a service by weight.
-    pub fn draw(&self) -> Option<ServiceKey> {
+    pub fn pick_service(&self) -> Option<ServiceKey> {
         let total: u32 = self.shares.iter().map(|(_, w)| w).sum();
         if total == 0 {
             return self.shares.first().map(|(service, _)| *service);
@@ -168,7 +168,7 @@
 
     /// Time that is left of a request that came `elapsed` ago: until the client
     /// gives up or the route's timeout, whichever is sooner.
-    pub fn left(&self, deadline: Option<Duration>, elapsed: Duration) -> Duration {
+    pub fn time_left(&self, deadline: Option<Duration>, elapsed: Duration) -> Duration {
         let bound = deadline.map_or(self.route.timeout, |d| d.min(self.route.timeout));
         bound.saturating_sub(elapsed)
     }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -9,12 +9,12 @@
 
 use crate::account::Account;
 use crate::answer::Reason;
-use crate::attempt::{self, NotRun, Tried, attempt};
-use crate::choose::{Choice, Need, Plan, choose};
+use crate::attempt::{self, AttemptResult, NotRun, attempt};
+use crate::choose::{Choice, Plan, Requirements, choose};
 use crate::crashes::{self, Admission, fingerprint, unanswered};
 use crate::fleet::{ServiceKey, UpstreamKey};
 use crate::relay;
-use crate::routes::{Caller, RouteTable, Target};
+use crate::routes::{Caller, ResolvedRoute, RouteTable};
 use crate::state::Gateway;
 use bytes::Bytes;
 use hyper::body::{Body as _, Incoming as IncomingBody};
@@ -65,7 +65,7 @@
     service: ServiceKey,
     tried: Vec<UpstreamKey>,
     /// What an upstream said that failed, while another is tried.
-    failure: Option<Box<attempt::Started>>,
+    failure: Option<Box<attempt::StartedAnswer>>,
     fingerprint: OnceLock<Fingerprint>,
 }
 
@@ -82,7 +82,7 @@
     let mut account = Account::open(&gateway, &incoming.id, since);
     match receive(gateway, incoming, head, body, &mut account).await {
         Ok(mut call) => match call.run(&mut account).await {
-            Ok(started) => relay::pass_on(call, account, started),
+            Ok(started) => relay::relay_answer(call, account, started),
             Err(refusal) => {
                 crashes::end_trial(&call, &account);
                 refusal::refuse(account, refusal)
@@ -101,7 +101,7 @@
     account: &mut Account,
 ) -> Result<Call, Refusal> {
     let table = gateway.routes().ok_or(Reason::NoConfig)?;
-    account.config = table.version;
+    account.config_version = table.version;
     let target = table
         .find(&incoming.host, head.uri.path())
         .ok_or(Reason::NoRoute)?;
@@ -109,8 +109,8 @@
     let caller = caller::admit(&gateway, &table, target, &incoming, account)?;
     let acquired = caller::acquire_quota(&gateway, &table, caller, &incoming, account);
     account.grant = acquired.await?;
-    let left = target.left(incoming.deadline, account.since.elapsed());
-    let service = target.draw().ok_or(Reason::NoUpstream)?;
+    let left = target.time_left(incoming.deadline, account.received_at.elapsed());
+    let service = target.pick_service().ok_or(Reason::NoUpstream)?;
     let is_engine = {
         let fleet = gateway.fleet();
         let info = fleet.info(service);
@@ -134,7 +134,7 @@
         }
     };
     Ok(Call {
-        since: account.since,
+        since: account.received_at,
         last_event: incoming.last_event,
         method: head.method,
         path: path_and_query(&head.uri),
@@ -170,7 +170,7 @@
 
 impl Call {
     /// Its route.
-    pub fn target(&self) -> &Target {
+    pub fn target(&self) -> &ResolvedRoute {
         // NB: the table doesn't change, so the route that was found is found again.
         self.table
             .find(&self.incoming.host, self.path.path())
@@ -183,24 +183,24 @@
         *self.fingerprint.get_or_init(|| fingerprint(self))
     }
 
-    fn need(&self, account: &Account) -> Need<'_> {
+    fn need(&self, account: &Account) -> Requirements<'_> {
         let route = &self.target().route;
         let is_again = account.attempts > 0;
-        Need {
+        Requirements {
             service: self.service,
             parts: &self.incoming.parts,
             prompt_tokens: self.incoming.prompt_tokens,
             max_output_tokens: self.incoming.max_output_tokens,
-            target: route.target_latency,
-            is_rest: is_again && self.last_event.is_some(),
-            is_alone: false,
+            latency_target: route.target_latency,
+            is_resumed: is_again && self.last_event.is_some(),
+            is_isolated: false,
             tried: &self.tried,
         }
     }
 
     /// Finds an upstream whose answer begins, or the reason why there is none. An upstream's
     /// own failure is passed on if nothing better comes.
-    async fn run(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
+    async fn run(&mut self, account: &mut Account) -> Result<attempt::StartedAnswer, Refusal> {
         let over = self.time_over(Answer::Awaited);
         let done = tokio::select! {
             biased;
@@ -216,7 +216,10 @@
         }
     }
 
-    async fn run_untimed(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
+    async fn run_untimed(
+        &mut self,
+        account: &mut Account,
+    ) -> Result<attempt::StartedAnswer, Refusal> {
         let mut last = Refusal::from(Reason::NoUpstream);
         // Whether the next attempt has been taken off the budget.
         let mut is_paid = false;
@@ -229,8 +232,8 @@
             if is_again && !self.may_retry(account) {
                 return Err(last);
             }
-            let need = Need {
-                is_alone: admission == Admission::Alone,
+            let need = Requirements {
+                is_isolated: admission == Admission::Alone,
                 ..self.need(account)
             };
             let plan = match choose(&self.gateway, &need) {
@@ -246,9 +249,9 @@
             }
             let tried = self.attempt_patiently(account, &plan, &mut is_paid).await;
             self.tried
-                .push(account.tried.map_or(plan.key, |sent| sent.key));
+                .push(account.last_sent_to.map_or(plan.key, |sent| sent.key));
             match tried {
-                Tried::Started(started) => {
+                AttemptResult::Started(started) => {
                     let may_repeat = self.target().route.kind.is_repeatable();
                     if !started.status.is_server_error() || !may_repeat {
                         return Ok(*started);
@@ -261,15 +264,15 @@
                     // One that still comes holds its connection.
                     self.failure = Some(started).filter(|s| s.rest.is_none());
                 }
-                Tried::NotRun(NotRun::NotSent | NotRun::NoPrefill) => {
+                AttemptResult::NotRun(NotRun::NotSent | NotRun::PrefillFailed) => {
                     if self.tried.len() >= MAX_UNSENT {
                         return Err(last);
                     }
                 }
-                Tried::NotRun(NotRun::NoTime) => return Err(Reason::Stopping.into()),
-                Tried::NotRun(NotRun::Held(why)) => return Err(why.into()),
-                Tried::NotRun(NotRun::Rejected) => last = Reason::Rejected.into(),
-                Tried::Unknown(_) => {
+                AttemptResult::NotRun(NotRun::NoTime) => return Err(Reason::Stopping.into()),
+                AttemptResult::NotRun(NotRun::Held(why)) => return Err(why.into()),
+                AttemptResult::NotRun(NotRun::Rejected) => last = Reason::Rejected.into(),
+                AttemptResult::Unknown(_) => {
                     last = Reason::UpstreamLost.into();
                     if !self.target().route.kind.is_repeatable() {
                         return Err(last);
@@ -287,7 +290,7 @@
         account: &mut Account,
         plan: &Plan,
         is_paid: &mut bool,
-    ) -> Tried {
+    ) -> AttemptResult {
         let route = &self.target().route;
         let attempts = account.attempts;
         let may_switch = || {
@@ -312,10 +315,10 @@
         *is_paid = true;
         unanswered::timed_out(self, account);
         account.attempts += 1;
-        attempt::failed(&self.gateway, plan, attempt::LOST_WEIGHT);
+        attempt::record_failure(&self.gateway, plan, attempt::CONNECTION_FAILURE_WEIGHT);
         let why = "no first byte in time";
-        attempt::tell_failed(account, "unknown", why, patience);
-        Tried::Unknown(why.to_owned())
+        attempt::log_failed_attempt(account, "unknown", why, patience);
+        AttemptResult::Unknown(why.to_owned())
     }
 
     /// Whether another upstream may be sent the request; takes it off the budget.
@@ -330,15 +333,15 @@
     }
 
     /// Sends a broken stream's rest to another upstream; none if it may not.
-    pub async fn retry(&mut self, account: &mut Account) -> Option<Tried> {
+    pub async fn retry(&mut self, account: &mut Account) -> Option<AttemptResult> {
         // The one that broke off has most likely crashed.
-        self.tried.extend(account.tried.map(|sent| sent.key));
+        self.tried.extend(account.last_sent_to.map(|sent| sent.key));
         let admission = crashes::admit(self, account).await;
         if matches!(admission, Admission::Held(_)) || !self.may_retry(account) {
             return None;
         }
-        let need = Need {
-            is_alone: admission == Admission::Alone,
+        let need = Requirements {
+            is_isolated: admission == Admission::Alone,
             ..self.need(account)
         };
         let Choice::Send(plan) = choose(&self.gateway, &need) else {
--- a/crates/gateway/src/serve/caller.rs
+++ b/crates/gateway/src/serve/caller.rs
@@ -4,7 +4,7 @@
 use crate::account::Account;
 use crate::answer::Reason;
 use crate::quota::{self, Grant};
-use crate::routes::{Caller, Denied, RouteTable, Target};
+use crate::routes::{Caller, Denied, ResolvedRoute, RouteTable};
 use crate::state::Gateway;
 use observe::{Event, emit};
 use platform::Incoming;
@@ -20,7 +20,7 @@
 pub(super) fn admit(
     gateway: &Gateway,
     table: &RouteTable,
-    target: &Target,
+    target: &ResolvedRoute,
     incoming: &Incoming,
     account: &mut Account,
 ) -> Result<Caller, Refusal> {
@@ -90,8 +90,8 @@
     /// Whose request it is, as its upstream is told.
     pub fn tenancy(&self) -> Tenancy<'_> {
         match self.caller {
-            Caller::Any => Tenancy::Unused,
-            Caller::Unnamed | Caller::Tenant(_) => Tenancy::Of(self.tenant_name()),
+            Caller::Unrestricted => Tenancy::Unused,
+            Caller::Anonymous | Caller::Tenant(_) => Tenancy::Of(self.tenant_name()),
         }
     }
 
@@ -116,7 +116,7 @@
             Err(reason) => reason,
         };
         if let Some(newest) = self.gateway.routes() {
-            account.config = newest.version;
+            account.config_version = newest.version;
             note_removed_key(&newest, &self.incoming, account);
         }
         Err(reason)
@@ -138,8 +138,8 @@
             .map_err(Reason::NoTenant)?;
         // What upstreams are told is made by the table that the request came under.
         let is_same = match (self.caller, caller) {
-            (_, Caller::Any) => true,
-            (Caller::Any, _) => false,
+            (_, Caller::Unrestricted) => true,
+            (Caller::Unrestricted, _) => false,
             _ => self.tenant_name() == newest.tenant(caller).map(|t| &*t.name),
         };
         is_same.then_some(()).ok_or(Reason::ConfigBehind)
--- a/crates/gateway/src/serve/refusal.rs
+++ b/crates/gateway/src/serve/refusal.rs
@@ -61,7 +61,7 @@
 
 pub(super) fn refuse(mut account: Account, refusal: Refusal) -> Response<Body> {
     let outcome = account.outcome();
-    let res = answer::own(&account.id, outcome, refusal.reason, refusal.retry_after);
+    let res = answer::gateway_response(&account.id, outcome, refusal.reason, refusal.retry_after);
     account.status = res.status().as_u16();
     account.close(outcome, Some(refusal.reason));
     res
--- a/crates/gateway/src/serve/time.rs
+++ b/crates/gateway/src/serve/time.rs
@@ -55,7 +55,7 @@
     /// Time that is left of it, by the client's deadline and the route's timeout.
     fn own_left(&self) -> Duration {
         let elapsed = self.since.elapsed();
-        self.target().left(self.incoming.deadline, elapsed)
+        self.target().time_left(self.incoming.deadline, elapsed)
     }
 
     /// Time that an upstream has for it: its own, and that of a process that is stopping.
@@ -79,7 +79,7 @@
         let longest = {
             let fleet = self.gateway.fleet();
             let durations = fleet.info(self.service).durations();
-            durations.longest(self.length(), now)
+            durations.upper_bound(self.length(), now)
         };
         // Where its own time is over before, the process doesn't bind it.
         let estimate = match self.is_engine {
@@ -113,7 +113,7 @@
         match self.is_engine {
             true => Length::Tokens {
                 expected: self.incoming.expected_tokens(),
-                most: self.incoming.max_output_tokens,
+                max: self.incoming.max_output_tokens,
             },
             false => Length::Plain {
                 route: xxhash_rust::xxh3::xxh3_64(self.target().route.name.as_bytes()),
@@ -134,7 +134,7 @@
         let mut fleet = self.gateway.fleet();
         let durations = fleet.durations_mut(self.service);
         let took = took.saturating_sub(estimate);
-        durations.note(self.length(), took, Instant::now());
+        durations.record(self.length(), took, Instant::now());
     }
 
     /// Counts its answer as being streamed until the guard is dropped.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -8,8 +8,8 @@
 use crate::duty::usage::Usage;
 use crate::fleet::{Fleet, ServiceKey, UpstreamKey};
 use crate::follow;
-use crate::history::History;
-use crate::missing::Missing;
+use crate::history::ChangeHistory;
+use crate::missing::MissingUpstreams;
 use crate::peers::catch_up::RegistryChanges;
 use crate::peers::first_look::StartupLoad;
 use crate::peers::{Location, Peers, zone_hash};
@@ -42,8 +42,8 @@
     fleet: Mutex<Fleet>,
     budgets: Mutex<Vec<(ServiceKey, Budget)>>,
     registry: Mutex<Registry>,
-    history: Mutex<History>,
-    missing: Mutex<Missing>,
+    history: Mutex<ChangeHistory>,
+    missing: Mutex<MissingUpstreams>,
     unreadable: Mutex<follow::unreadable::Told>,
     peers: Mutex<Peers>,
     live_peers: AtomicU32,
@@ -196,7 +196,7 @@
         let view = self.fleet().view();
         let mut registry = lock(&self.registry);
         if registry.version == 0 {
-            self.history().start(version);
+            self.history().reset(version);
         }
         registry.version = version.max(registry.version);
         registry.view = view;
@@ -213,13 +213,13 @@
     }
 
     /// Upstreams that are missing and may come back. Never held across an await.
-    pub fn missing(&self) -> MutexGuard<'_, Missing> {
+    pub fn missing(&self) -> MutexGuard<'_, MissingUpstreams> {
         lock(&self.missing)
     }
 
     /// The latest changes of the registry. Never held across an await; locked after
     /// the fleet where both are needed.
-    pub fn history(&self) -> MutexGuard<'_, History> {
+    pub fn history(&self) -> MutexGuard<'_, ChangeHistory> {
         lock(&self.history)
     }
 
@@ -238,7 +238,7 @@
             present: Vec::new(),
             gone: Vec::new(),
         };
-        let Some(ids) = history.since(version) else {
+        let Some(ids) = history.changed_since(version) else {
             let all = fleet.iter().map(|(_, u)| u.instance.clone());
             changes.present.extend(all);
             changes.is_whole = true;
--- a/crates/gateway/tests/cache.rs
+++ b/crates/gateway/tests/cache.rs
@@ -4,9 +4,9 @@
 mod fixtures;
 
 use fixtures::{gateway_with, learn_speed, runner};
-use gateway::choose::{Choice, Need, Plan, choose};
-use gateway::fleet::cache::Cache;
-use gateway::fleet::speed::Task;
+use gateway::choose::{Choice, Plan, Requirements, choose};
+use gateway::fleet::cache::CacheEstimate;
+use gateway::fleet::latency::Task;
 use gateway::peers::Placement;
 use gateway::state::{Gateway, LoadGuard};
 use platform::{PromptPart, Stage};
@@ -20,14 +20,14 @@
 
 #[test]
 fn a_part_is_of_use_only_behind_the_parts_before_it() {
-    let mut cache = Cache::default();
+    let mut cache = CacheEstimate::default();
     let now = Instant::now();
-    assert!(cache.note(part(2, 300), 10_000, now));
-    assert_eq!(cache.missing(&[part(1, 100), part(2, 300)]), 400);
-    assert!(cache.note(part(1, 100), 10_000, now));
-    assert!(!cache.note(part(1, 100), 10_000, now));
-    assert_eq!(cache.missing(&[part(1, 100), part(2, 300)]), 0);
-    assert_eq!(cache.missing(&[part(1, 100), part(3, 70)]), 70);
+    assert!(cache.record(part(2, 300), 10_000, now));
+    assert_eq!(cache.missing_tokens(&[part(1, 100), part(2, 300)]), 400);
+    assert!(cache.record(part(1, 100), 10_000, now));
+    assert!(!cache.record(part(1, 100), 10_000, now));
+    assert_eq!(cache.missing_tokens(&[part(1, 100), part(2, 300)]), 0);
+    assert_eq!(cache.missing_tokens(&[part(1, 100), part(3, 70)]), 70);
 }
 
 #[test]
@@ -35,7 +35,7 @@
     let sends = proptest::collection::vec((0u64..30, 1u32..400), 1..200);
     runner()
         .run(&sends, |sends| {
-            let mut cache = Cache::default();
+            let mut cache = CacheEstimate::default();
             let since = Instant::now();
             // A naive cache: parts in the order of their use, the latest last.
             let mut naive: Vec<PromptPart> = Vec::new();
@@ -46,9 +46,9 @@
                 while naive.iter().map(|p| p.tokens).sum::<u32>() > 1000 && naive.len() > 1 {
                     naive.remove(0);
                 }
-                cache.note(sent, 2000, since + Duration::from_millis(n as u64));
+                cache.record(sent, 2000, since + Duration::from_millis(n as u64));
                 for id in 0..30 {
-                    let is_held = cache.missing(&[part(id, 1)]) == 0;
+                    let is_held = cache.missing_tokens(&[part(id, 1)]) == 0;
                     prop_assert_eq!(is_held, naive.iter().any(|p| p.id == id), "part {}", id);
                 }
             }
@@ -64,15 +64,15 @@
 
 /// The plan for a prompt of shared and own tokens, against a latency target of 0.8 s.
 fn plan_of(gateway: &Gateway, parts: &[PromptPart]) -> Option<Box<Plan>> {
-    let service = gateway.fleet().service("s");
-    let need = Need {
+    let service = gateway.fleet().intern_service("s");
+    let need = Requirements {
         service,
         parts,
         prompt_tokens: parts.iter().map(|p| p.tokens).sum(),
         max_output_tokens: 60,
-        target: Duration::from_millis(800),
-        is_rest: false,
-        is_alone: false,
+        latency_target: Duration::from_millis(800),
+        is_resumed: false,
+        is_isolated: false,
         tried: &[],
     };
     match choose(gateway, &need) {
@@ -84,7 +84,7 @@
 /// Eight readers and four generators that have just started.
 fn fresh_fleet() -> Arc<Gateway> {
     let gateway = gateway_with(&[]);
-    gateway.fleet().see_starts();
+    gateway.fleet().assume_empty_caches();
     for n in 0..12u8 {
         let stage = if n < 8 { Stage::Prefill } else { Stage::Decode };
         let instance = fixtures::instance(n, stage);
@@ -108,7 +108,7 @@
     let (home, uncached) = sent_to(&gateway, &prompt).unwrap();
     assert_eq!(uncached, 17_020, "nothing is cached at the start");
     let key = gateway.fleet().find(&home).unwrap();
-    gateway.fleet().note_parts(key, &prompt, Instant::now());
+    gateway.fleet().record_parts(key, &prompt, Instant::now());
     assert_eq!(sent_to(&gateway, &prompt), Some((home.clone(), 3_720)));
     // A short queue is waited for: the shared part would have to be read anew.
     let short = place(&gateway, &home, 300);
@@ -133,7 +133,7 @@
     let prompt = [part(7, 3_000), part(1 << 40, 3_000)];
     let (home, _) = sent_to(&gateway, &prompt).unwrap();
     let key = gateway.fleet().find(&home).unwrap();
-    gateway.fleet().note_parts(key, &prompt, Instant::now());
+    gateway.fleet().record_parts(key, &prompt, Instant::now());
     let mut busy = Vec::new();
     for n in 8..12 {
         for _ in 0..48 {
@@ -172,16 +172,16 @@
     let (home, _) = sent_to(&a, &prompt).unwrap();
     let now = Instant::now();
     let key = a.fleet().find(&home).unwrap();
-    a.fleet().note_parts(key, &prompt, now);
-    let told: Vec<Placement> = a.fleet().new_placements(Duration::from_secs(1), now);
+    a.fleet().record_parts(key, &prompt, now);
+    let told: Vec<Placement> = a.fleet().recent_placements(Duration::from_secs(1), now);
     assert_eq!(told.len(), 1);
-    b.fleet().take_placements(&told, false, now);
+    b.fleet().merge_placements(&told, false, now);
     assert_eq!(sent_to(&b, &prompt), Some((home.clone(), 100)));
     // What was told long ago is told no more.
     let later = now + Duration::from_secs(2);
     assert!(
         a.fleet()
-            .new_placements(Duration::from_secs(1), later)
+            .recent_placements(Duration::from_secs(1), later)
             .is_empty()
     );
     let n: u8 = home.strip_prefix("i-").unwrap().parse().unwrap();
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -4,9 +4,9 @@
 mod fixtures;
 
 use fixtures::{gateway_with, instance, learn_speed, runner};
-use gateway::choose::{Choice, Need, PREFILL_WEIGHT, choose};
-use gateway::fleet::speed::{Slowdown, Speed, Task, Work};
-use gateway::fleet::{Fleet, Merged};
+use gateway::choose::{Choice, PREFILL_WEIGHT, Requirements, choose};
+use gateway::fleet::latency::{Backlog, LatencyModel, Slowdown, Task};
+use gateway::fleet::{Fleet, MergeOutcome};
 use gateway::state::Gateway;
 use net::Meter;
 use platform::{PromptPart, Stage};
@@ -15,23 +15,23 @@
 
 #[test]
 fn the_speed_of_engines_is_learned() {
-    let mut speed = Speed::of(Task::Generate);
-    let truth = |w: Work| 12.0 + 7.0 * w.prompts + 0.002 * w.tokens + 40.0 * w.turns;
+    let mut speed = LatencyModel::for_task(Task::Generate);
+    let truth = |w: Backlog| 12.0 + 7.0 * w.prompts + 0.002 * w.tokens + 40.0 * w.slot_turnovers;
     for n in 0..2000u32 {
-        let work = Work {
+        let work = Backlog {
             prompts: f64::from(n % 7),
             tokens: f64::from((n * 997) % 30_000),
-            turns: f64::from(n % 3) / 2.0,
+            slot_turnovers: f64::from(n % 3) / 2.0,
         };
         // Every fifth takes a little longer, every fifth a little less.
         let off = [0.0, 3.0, 0.0, -3.0, 0.0][(n % 5) as usize];
-        speed.sample(work, truth(work) + off);
+        speed.add_sample(work, truth(work) + off);
     }
     for (prompts, tokens, turns) in [(0.0, 500.0, 0.0), (2.0, 9000.0, 1.0), (6.0, 25_000.0, 0.5)] {
-        let work = Work {
+        let work = Backlog {
             prompts,
             tokens,
-            turns,
+            slot_turnovers: turns,
         };
         let estimate = speed.estimate(work);
         assert!((estimate - truth(work)).abs() < 2.0, "{work:?}: {estimate}");
@@ -41,10 +41,10 @@
 #[test]
 fn a_slow_upstream_shows_and_one_late_answer_does_not() {
     let mut slowdown = Slowdown::default();
-    slowdown.sample(5000.0, 20.0);
+    slowdown.add_sample(5000.0, 20.0);
     assert!(slowdown.factor() < 1.5, "{}", slowdown.factor());
     for _ in 0..60 {
-        slowdown.sample(100.0, 20.0);
+        slowdown.add_sample(100.0, 20.0);
     }
     assert!(
         (4.0..6.0).contains(&slowdown.factor()),
@@ -85,11 +85,11 @@
 fn a_key_of_a_removed_upstream_finds_nothing() {
     let mut fleet = Fleet::default();
     let meter = Meter::default();
-    let Merged::Added(key) = fleet.merge(instance(1, Stage::Decode), &meter) else {
+    let MergeOutcome::Added(key) = fleet.merge(instance(1, Stage::Decode), &meter) else {
         panic!("it is new");
     };
     assert!(fleet.remove(key).is_some());
-    let Merged::Added(next) = fleet.merge(instance(2, Stage::Decode), &meter) else {
+    let MergeOutcome::Added(next) = fleet.merge(instance(2, Stage::Decode), &meter) else {
         panic!("it is new");
     };
     assert!(fleet.get(key).is_none());
@@ -116,15 +116,15 @@
             tokens: 2900,
         },
     ];
-    let service = gateway.fleet().service("s");
-    let need = Need {
+    let service = gateway.fleet().intern_service("s");
+    let need = Requirements {
         service,
         parts: &parts,
         prompt_tokens: 9100,
         max_output_tokens: 64,
-        target: Duration::from_millis(120),
-        is_rest,
-        is_alone: false,
+        latency_target: Duration::from_millis(120),
+        is_resumed: is_rest,
+        is_isolated: false,
         tried: &[],
     };
     match choose(gateway, &need) {
@@ -193,8 +193,8 @@
     for placed in &mut placed {
         placed.has_begun();
     }
-    let waits = gateway.fleet().get(key).unwrap().work(0);
-    assert!((waits.turns - 1.0).abs() < 1e-9, "{waits:?}");
+    let waits = gateway.fleet().get(key).unwrap().backlog(0);
+    assert!((waits.slot_turnovers - 1.0).abs() < 1e-9, "{waits:?}");
     let more: Vec<_> = (0..2).map(|_| gateway.add_load(key, 0, false)).collect();
     assert!(chosen(&gateway, 7).is_none());
     drop(more);
--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -6,7 +6,7 @@
 
 use fixtures::{gateway_with, instance, runner};
 use gateway::duty::lease::turn;
-use gateway::fleet::durations::{Durations, Length, Told};
+use gateway::fleet::durations::{DurationSnapshot, Durations, Length};
 use gateway::peers::catch_up::{RegistryChanges, take_changes};
 use gateway::peers::{Beat, Changing, CrashWord, Load, Peers, Placement, Scope};
 use platform::{Duty, Lease, LeaseRead, Stage, Start};
@@ -112,7 +112,7 @@
             }
             let mut fleet = gateway.fleet();
             for (_, upstream) in fleet.iter() {
-                upstream.work(u32::MAX);
+                upstream.backlog(u32::MAX);
             }
             peers.expire(&mut fleet, now + Duration::from_secs(60));
             Ok(())
@@ -143,8 +143,8 @@
     peers.tell(gateway.location(), &beat(tag), now);
     let fleet = gateway.fleet();
     let (_, upstream) = fleet.iter().next().unwrap();
-    assert_eq!(upstream.reading_tokens(), u32::MAX);
-    upstream.work(u32::MAX);
+    assert_eq!(upstream.all_waiting_tokens(), u32::MAX);
+    upstream.backlog(u32::MAX);
 }
 
 #[test]
@@ -200,22 +200,22 @@
     let now = Instant::now();
     let length = Length::Plain { route: 3 };
     for n in 0..20 {
-        durations.note(length, Duration::from_millis(n), now);
+        durations.record(length, Duration::from_millis(n), now);
     }
-    let told = durations.told("s", now);
+    let told = durations.snapshot("s", now);
     let good = wire::encode_compact(&told.into_iter().collect::<Vec<_>>());
     runner()
         .run(&bytes(good), |bytes| {
-            if let Some(all) = wire::decode::<Vec<Told>>(&bytes) {
+            if let Some(all) = wire::decode::<Vec<DurationSnapshot>>(&bytes) {
                 let mut taken = Durations::default();
                 for told in &all {
-                    taken.take(told, now);
+                    taken.merge(told, now);
                 }
-                taken.longest(length, now);
-                taken.longest(
+                taken.upper_bound(length, now);
+                taken.upper_bound(
                     Length::Tokens {
                         expected: 9,
-                        most: 9,
+                        max: 9,
                     },
                     now,
                 );
--- a/crates/gateway/tests/division.rs
+++ b/crates/gateway/tests/division.rs
@@ -4,7 +4,7 @@
 //! an engine busy: prompts of 2,900 to 3,700 uncached tokens read at 37 tokens a ms
 //! by engines with 64 slots, or at 700 and more by engines with 6 to 12.
 
-use gateway::division::{Basis, Demand, Division, EngineUse, Wanted};
+use gateway::division::{Basis, Demand, Division, EngineUse, WantedChange};
 use gateway::duty::lease::{Held, Turn, turn};
 use platform::{Duty, Lease, LeaseRead, Stage};
 use std::time::{Duration, Instant};
@@ -13,14 +13,14 @@
 
 /// The use of engines of which so many read and so many answers are generated.
 fn uses(now: Division, readers_busy: u32, generators_busy: u32, answers: u32) -> Vec<EngineUse> {
-    let readers = (0..now.readers).map(|n| EngineUse {
-        reads_only: true,
-        is_reading: n < readers_busy,
+    let readers = (0..now.prefill_engines).map(|n| EngineUse {
+        is_prefill_only: true,
+        is_prefilling: n < readers_busy,
         generating: 0,
     });
     let generators = (0..now.generators).map(|n| EngineUse {
-        reads_only: false,
-        is_reading: n < generators_busy,
+        is_prefill_only: false,
+        is_prefilling: n < generators_busy,
         generating: answers / now.generators + u32::from(n < answers % now.generators),
     });
     readers.chain(generators).collect()
@@ -37,7 +37,7 @@
 
 fn division(readers: u32, generators: u32, slots: u32) -> Division {
     Division {
-        readers,
+        prefill_engines: readers,
         generators,
         slots,
     }
@@ -49,13 +49,13 @@
 fn full_readers_get_help_from_engines_that_generate_little() {
     let now = division(5, 7, 64);
     let demand = demand(&uses(now, 4, 2, 35), 6);
-    let wanted = demand.wanted(now, false).unwrap();
+    let wanted = demand.wanted_change(now, false).unwrap();
     assert_eq!(wanted.stage, Stage::Prefill);
-    assert_eq!(wanted.basis, Basis::Reading);
+    assert_eq!(wanted.basis, Basis::Prefilling);
     // A quarter of the engines may be away at once, a third goes on generating.
     assert_eq!(wanted.changes, 3);
     let next = division(8, 4, 64);
-    let rest = demand.wanted(next, false);
+    let rest = demand.wanted_change(next, false);
     assert_eq!(rest, None, "a third is kept");
 }
 
@@ -70,9 +70,9 @@
         (division(9, 16, 6), 6, 35),
     ] {
         let demand = demand(&uses(now, busy, now.generators / 2, answers), 20);
-        assert_eq!(demand.wanted(now, false), None, "{now:?}");
+        assert_eq!(demand.wanted_change(now, false), None, "{now:?}");
         let start = Demand::default();
-        assert_eq!(idle(start, now).wanted(now, true), None, "{now:?}");
+        assert_eq!(idle(start, now).wanted_change(now, true), None, "{now:?}");
     }
 }
 
@@ -88,14 +88,14 @@
 fn before_the_first_request_deep_batches_are_divided_by_their_slots() {
     let now = division(5, 7, 64);
     let demand = idle(Demand::default(), now);
-    let expected = Wanted {
+    let expected = WantedChange {
         changes: 3,
         stage: Stage::Prefill,
         basis: Basis::Slots,
     };
-    assert_eq!(demand.wanted(now, true), Some(expected));
+    assert_eq!(demand.wanted_change(now, true), Some(expected));
     // A process that starts anew in a running system doesn't know that it is idle.
-    assert_eq!(demand.wanted(now, false), None);
+    assert_eq!(demand.wanted_change(now, false), None);
 }
 
 #[test]
@@ -105,11 +105,11 @@
         let now = division(engines / 3, engines - engines / 3, 64);
         for _ in 0..10 {
             demand.sample(uses(now, 0, 0, 0).into_iter(), LOOK);
-            assert_eq!(demand.wanted(now, true), None);
+            assert_eq!(demand.wanted_change(now, true), None);
         }
     }
     let now = division(4, 8, 64);
-    assert!(idle(demand, now).wanted(now, true).is_some());
+    assert!(idle(demand, now).wanted_change(now, true).is_some());
 }
 
 #[test]
@@ -119,7 +119,7 @@
     let mut demand = demand(&calm, 10);
     for _ in 0..56 {
         demand.sample(uses(now, 5, 1, 30).into_iter(), LOOK);
-        assert_eq!(demand.wanted(now, false), None);
+        assert_eq!(demand.wanted_change(now, false), None);
     }
 }
 
@@ -128,10 +128,12 @@
 fn lost_generators_are_replaced_by_readers() {
     for (now, changes) in [(division(8, 1, 64), 2), (division(7, 0, 64), 1)] {
         let uses = match now.generators {
-            0 => uses(division(now.readers, 1, 64), 3, 0, 0)[..now.readers as usize].to_vec(),
+            0 => uses(division(now.prefill_engines, 1, 64), 3, 0, 0)
+                [..now.prefill_engines as usize]
+                .to_vec(),
             _ => uses(now, 3, 0, 40),
         };
-        let wanted = demand(&uses, 6).wanted(now, false).unwrap();
+        let wanted = demand(&uses, 6).wanted_change(now, false).unwrap();
         assert_eq!(wanted.stage, Stage::Decode);
         assert_eq!(wanted.changes, changes);
     }
@@ -140,7 +142,10 @@
 #[test]
 fn a_single_engine_is_left_alone() {
     let now = division(0, 1, 8);
-    assert_eq!(demand(&uses(now, 0, 1, 8), 20).wanted(now, false), None);
+    assert_eq!(
+        demand(&uses(now, 0, 1, 8), 20).wanted_change(now, false),
+        None
+    );
 }
 
 fn read(holder: &str, until_ms: u64, now_ms: u64) -> LeaseRead {
--- a/crates/gateway/tests/durations.rs
+++ b/crates/gateway/tests/durations.rs
@@ -9,7 +9,10 @@
 
 fn tokens(expected: u32) -> Length {
     let most = expected;
-    Length::Tokens { expected, most }
+    Length::Tokens {
+        expected,
+        max: most,
+    }
 }
 
 /// Answers of a length, of which one took 800 ms and the others 100, the first of them two
@@ -18,17 +21,17 @@
     let now = Instant::now();
     let mut durations = Durations::default();
     let minutes_ago = now - Duration::from_secs(120);
-    durations.note(length, ms(100), minutes_ago);
-    durations.note(length, ms(800), now);
+    durations.record(length, ms(100), minutes_ago);
+    durations.record(length, ms(800), now);
     for _ in 2..count {
-        durations.note(length, ms(100), now);
+        durations.record(length, ms(100), now);
     }
     durations
 }
 
 /// The bound as it stands two minutes after the first of [`seen`].
 fn longest(durations: &Durations, length: Length) -> Duration {
-    durations.longest(length, Instant::now())
+    durations.upper_bound(length, Instant::now())
 }
 
 #[test]
@@ -37,20 +40,20 @@
     let mut now = Instant::now();
     // However many quick ones come beside it.
     for _ in 0..10_000 {
-        durations.note(tokens(100), ms(100), now);
+        durations.record(tokens(100), ms(100), now);
     }
-    let before = durations.longest(tokens(100), now);
+    let before = durations.upper_bound(tokens(100), now);
     assert!((ms(900)..ms(1200)).contains(&before), "{before:?}");
     // Long after it, the slow one counts no more.
     for _ in 0..60 {
         now += Duration::from_secs(10);
-        durations.note(tokens(100), ms(100), now);
+        durations.record(tokens(100), ms(100), now);
     }
-    assert!(durations.longest(tokens(100), now) < ms(200));
+    assert!(durations.upper_bound(tokens(100), now) < ms(200));
     // Nor does any after a quiet hour.
     let later = now + Duration::from_secs(3600);
-    let unknown = Durations::default().longest(tokens(100), later);
-    assert_eq!(durations.longest(tokens(100), later), unknown);
+    let unknown = Durations::default().upper_bound(tokens(100), later);
+    assert_eq!(durations.upper_bound(tokens(100), later), unknown);
 }
 
 #[test]
@@ -59,9 +62,9 @@
     let now = Instant::now();
     let since = now - Duration::from_secs(5);
     durations.begin(tokens(100), since);
-    assert!(durations.longest(tokens(100), now) > Duration::from_secs(5));
+    assert!(durations.upper_bound(tokens(100), now) > Duration::from_secs(5));
     durations.end(tokens(100), since);
-    assert!(durations.longest(tokens(100), now) < ms(1200));
+    assert!(durations.upper_bound(tokens(100), now) < ms(1200));
 }
 
 #[test]
@@ -72,12 +75,12 @@
     assert!(longest(&seen(tokens(100), 3), tokens(100)) > ms(1200));
     // Slower than the start value as it may be, what was seen counts, with its margin.
     let mut slow = Durations::default();
-    slow.note(tokens(1), Duration::from_secs(30), Instant::now());
+    slow.record(tokens(1), Duration::from_secs(30), Instant::now());
     assert!(longest(&slow, tokens(1)) > Duration::from_secs(40));
     // A client's estimate of nothing says nothing.
     let length = Length::Tokens {
         expected: 0,
-        most: 300,
+        max: 300,
     };
     assert!(longest(&nothing, length) > Duration::from_secs(5));
 }
@@ -117,9 +120,9 @@
 fn of_ever_new_routes_only_some_are_kept() {
     let mut durations = Durations::default();
     for route in 0..10_000 {
-        durations.note(Length::Plain { route }, ms(5000), Instant::now());
+        durations.record(Length::Plain { route }, ms(5000), Instant::now());
     }
-    let told = durations.told("s", Instant::now()).unwrap();
+    let told = durations.snapshot("s", Instant::now()).unwrap();
     let kept = told.routes.len();
     assert!((1..2000).contains(&kept), "{kept}");
 }
@@ -129,9 +132,9 @@
     let start = Instant::now();
     let mut durations = Durations::default();
     for _ in 0..40 {
-        durations.note(tokens(100), ms(1000), start);
+        durations.record(tokens(100), ms(1000), start);
     }
-    let after = |secs| durations.longest(tokens(100), start + Duration::from_secs(secs));
+    let after = |secs| durations.upper_bound(tokens(100), start + Duration::from_secs(secs));
     assert!(after(3) > ms(2000));
     assert!(after(60) < ms(1500));
 }
@@ -144,10 +147,10 @@
     for length in [Length::Plain { route: 1 }, tokens(300)] {
         let mut durations = Durations::default();
         for n in 0..1000 {
-            durations.note(length, ms(20), start + ms(n));
+            durations.record(length, ms(20), start + ms(n));
         }
-        let unknown = Durations::default().longest(length, start);
-        let after = |secs| durations.longest(length, start + Duration::from_secs(secs));
+        let unknown = Durations::default().upper_bound(length, start);
+        let after = |secs| durations.upper_bound(length, start + Duration::from_secs(secs));
         assert_eq!(after(1), unknown, "{length:?}");
         assert_eq!(after(4), unknown, "{length:?}");
         assert!(after(6) < ms(60), "{length:?}");
@@ -162,15 +165,15 @@
     let (old, new) = (Length::Plain { route: 1 }, Length::Plain { route: 2 });
     let mut peer = Durations::default();
     for second in 0..300 {
-        peer.note(old, ms(20), start + Duration::from_secs(second));
+        peer.record(old, ms(20), start + Duration::from_secs(second));
     }
     let now = start + Duration::from_secs(300);
     let mut durations = Durations::default();
-    durations.take(&peer.told("s", now).unwrap(), now);
+    durations.merge(&peer.snapshot("s", now).unwrap(), now);
     for n in 0..100 {
-        durations.note(new, ms(1000), now + ms(n));
+        durations.record(new, ms(1000), now + ms(n));
     }
-    let bound = |length| durations.longest(length, now + Duration::from_secs(6));
+    let bound = |length| durations.upper_bound(length, now + Duration::from_secs(6));
     assert!(bound(old) < ms(30), "{:?}", bound(old));
     assert!(bound(new) > ms(2000), "{:?}", bound(new));
 }
@@ -181,28 +184,28 @@
     let plain = Length::Plain { route: 9 };
     let mut old = seen(tokens(100), 40);
     for _ in 0..40 {
-        old.note(plain, ms(900), now);
+        old.record(plain, ms(900), now);
     }
-    let told = old.told("s", now).unwrap();
+    let told = old.snapshot("s", now).unwrap();
     let mut new = Durations::default();
     // Its own few quick answers bind it no more than they would the other.
-    new.note(tokens(100), ms(50), now);
-    new.note(plain, ms(50), now);
+    new.record(tokens(100), ms(50), now);
+    new.record(plain, ms(50), now);
     let is_same = |new: &Durations, length: Length| {
-        let (new, old) = (new.longest(length, now), old.longest(length, now));
+        let (new, old) = (new.upper_bound(length, now), old.upper_bound(length, now));
         // Times are told in whole milliseconds.
         new.abs_diff(old) < ms(5)
     };
     assert!(!is_same(&new, tokens(100)));
-    new.take(&told, now);
+    new.merge(&told, now);
     assert!(is_same(&new, tokens(100)));
     assert!(is_same(&new, plain));
     // Taken again it says the same, and no more is kept than one process keeps.
     for _ in 0..40 {
-        new.take(&told, now);
+        new.merge(&told, now);
     }
     assert!(is_same(&new, plain));
-    let kept = new.told("s", now).unwrap();
+    let kept = new.snapshot("s", now).unwrap();
     assert!(kept.routes.iter().all(|r| r.windows.len() <= 10));
-    assert_eq!(Durations::default().told("s", now), None);
+    assert_eq!(Durations::default().snapshot("s", now), None);
 }
--- a/crates/gateway/tests/fairness.rs
+++ b/crates/gateway/tests/fairness.rs
@@ -4,8 +4,8 @@
 mod fixtures;
 
 use fixtures::{gateway_with, learn_speed};
-use gateway::choose::{Choice, Need, choose};
-use gateway::fleet::speed::Task;
+use gateway::choose::{Choice, Requirements, choose};
+use gateway::fleet::latency::Task;
 use gateway::state::{Gateway, LoadGuard};
 use platform::{PromptPart, Stage};
 use std::collections::VecDeque;
@@ -22,15 +22,15 @@
 fn send(gateway: &Arc<Gateway>, id: u64) -> Option<LoadGuard> {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = [part(1, 6300), part(1000 + id, 2900)];
-    let service = gateway.fleet().service("s");
-    let need = Need {
+    let service = gateway.fleet().intern_service("s");
+    let need = Requirements {
         service,
         parts: &parts,
         prompt_tokens: 9200,
         max_output_tokens: 2,
-        target: Duration::from_millis(120),
-        is_rest: false,
-        is_alone: false,
+        latency_target: Duration::from_millis(120),
+        is_resumed: false,
+        is_isolated: false,
         tried: &[],
     };
     match choose(gateway, &need) {
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -121,7 +121,7 @@
                         .filter(|(tag, _)| *tag == upstream.tag())
                         .map(|(_, t)| t)
                         .sum();
-                    prop_assert_eq!(upstream.others.tokens, sum);
+                    prop_assert_eq!(upstream.peer_load.tokens, sum);
                 }
             }
             Ok(())
@@ -223,7 +223,7 @@
     merge(&gateway, read(&[&kept, &lapsed]), true, 5, now);
     assert_eq!(gateway.settled_registry().unwrap().version, 5);
     // The store was away; its first read afterwards misses one.
-    gateway.missing().open(now);
+    gateway.missing().begin_grace_period(now);
     merge(&gateway, read(&[&kept]), true, 9, now);
     assert!(gateway.fleet().find("i-2").is_some(), "it may come back");
     // What is known is more than version 9 says, and peers must not adopt it.
@@ -266,7 +266,7 @@
     let now = Instant::now();
     let both = [&kept, &lapsed].map(|i| Registration::Present(i.clone()));
     merge(&gateway, both.to_vec(), true, 5, now);
-    gateway.missing().open(now);
+    gateway.missing().begin_grace_period(now);
     merge(
         &gateway,
         vec![Registration::Present(kept.clone())],
@@ -287,15 +287,15 @@
     let first_good = last_bad + Duration::from_millis(700);
     let both = [1, 2].map(|n| Registration::Present(instance(n, Stage::Decode)));
     merge(&gateway, both.to_vec(), true, 5, last_bad);
-    gateway.missing().open(last_bad);
+    gateway.missing().begin_grace_period(last_bad);
     let one = vec![both[0].clone()];
     merge(&gateway, one, true, 9, first_good);
     // A read is due when the time is up, however fresh the last one is.
-    let until = gateway.missing().until().expect("one is held back");
+    let until = gateway.missing().expires_at().expect("one is held back");
     assert_eq!(until, last_bad + Duration::from_secs(2));
     merge(&gateway, Vec::new(), false, 9, until);
     assert!(gateway.fleet().find("i-2").is_none());
-    assert!(gateway.missing().until().is_none());
+    assert!(gateway.missing().expires_at().is_none());
 }
 
 /// An engine with a number beyond those of [`instance`].
@@ -402,7 +402,7 @@
     let now = Instant::now();
     let one = |n| Registration::Present(instance(n, Stage::Decode));
     merge(&gateway, vec![one(1), one(2)], true, 5, now);
-    gateway.missing().open(now);
+    gateway.missing().begin_grace_period(now);
     merge(&gateway, vec![one(1)], true, 9, now);
     assert!(gateway.changes_since(5).is_none());
 }
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -5,8 +5,8 @@
 mod fixtures;
 
 use fixtures::{gateway_with, instance};
-use gateway::choose::{Choice, Need, choose};
-use gateway::fleet::{Fleet, Merged};
+use gateway::choose::{Choice, Requirements, choose};
+use gateway::fleet::{Fleet, MergeOutcome};
 use gateway::follow::unreadable::{Telling, Told};
 use gateway::follow::{merge, merge_peers};
 use gateway::peers::catch_up::{RegistryChanges, take_changes};
@@ -41,9 +41,9 @@
 }
 
 /// A fleet that has taken rows in order, with what came of the last.
-fn fleet_of(rows: impl IntoIterator<Item = Instance>) -> (Fleet, Merged) {
+fn fleet_of(rows: impl IntoIterator<Item = Instance>) -> (Fleet, MergeOutcome) {
     let mut fleet = Fleet::default();
-    let mut last = Merged::Same;
+    let mut last = MergeOutcome::Unchanged;
     for row in rows {
         last = fleet.merge(row, &Meter::default());
     }
@@ -63,11 +63,11 @@
     for (first, second) in [(100, 200), (200, 100)] {
         let (fleet, merged) = fleet_of([row(Some(first), 1), row(Some(second), 2)]);
         let before = Some(Start(first));
-        assert!(matches!(merged, Merged::Restarted { before: b, .. } if b == before));
+        assert!(matches!(merged, MergeOutcome::Restarted { before: b, .. } if b == before));
         assert_eq!(known(&fleet), Some((Some(second), false)));
         // The same rows the other way round.
         let (fleet, merged) = fleet_of([row(Some(second), 2), row(Some(first), 1)]);
-        assert_eq!(merged, Merged::Same);
+        assert_eq!(merged, MergeOutcome::Unchanged);
         assert_eq!(known(&fleet), Some((Some(second), false)));
     }
 }
@@ -78,7 +78,7 @@
     // A heartbeat of the earlier start that reached the store late.
     assert_eq!(
         fleet.merge(row(Some(1), 3), &Meter::default()),
-        Merged::Replaced
+        MergeOutcome::StaleStart
     );
     assert_eq!(known(&fleet), Some((Some(2), false)));
     // Nor when the later one is gone meanwhile.
@@ -86,12 +86,12 @@
     fleet.remove(key);
     assert_eq!(
         fleet.merge(row(Some(1), 4), &Meter::default()),
-        Merged::Replaced
+        MergeOutcome::StaleStart
     );
     assert_eq!(known(&fleet), None);
     // The later one itself does, as after its entry lapsed.
     let merged = fleet.merge(row(Some(2), 5), &Meter::default());
-    assert!(matches!(merged, Merged::Added(_)));
+    assert!(matches!(merged, MergeOutcome::Added(_)));
 }
 
 #[test]
@@ -115,8 +115,11 @@
         ..row(Some(1), 9)
     };
     // The first are forgotten, the last are not.
-    assert!(matches!(fleet.merge(late(0), &meter), Merged::Added(_)));
-    assert_eq!(fleet.merge(late(5999), &meter), Merged::Replaced);
+    assert!(matches!(
+        fleet.merge(late(0), &meter),
+        MergeOutcome::Added(_)
+    ));
+    assert_eq!(fleet.merge(late(5999), &meter), MergeOutcome::StaleStart);
 }
 
 #[test]
@@ -125,38 +128,44 @@
         let (fleet, _) = fleet_of([draining(start, 1), row(start, 2)]);
         assert_eq!(known(&fleet), Some((start, true)));
         let (fleet, merged) = fleet_of([row(start, 2), draining(start, 1)]);
-        assert!(matches!(merged, Merged::Draining(_)));
+        assert!(matches!(merged, MergeOutcome::Draining(_)));
         assert_eq!(known(&fleet), Some((start, true)));
     }
     let (fleet, _) = fleet_of([draining(Some(7), 1), row(Some(8), 2)]);
     assert_eq!(known(&fleet), Some((Some(8), false)));
     // An older row of an earlier start says nothing of this one.
     let (fleet, merged) = fleet_of([row(Some(8), 2), draining(Some(7), 1)]);
-    assert_eq!(merged, Merged::Same);
+    assert_eq!(merged, MergeOutcome::Unchanged);
     assert_eq!(known(&fleet), Some((Some(8), false)));
 }
 
 #[test]
 fn an_unknown_start_serves_until_one_is_told_and_names_none_after() {
     let (mut fleet, merged) = fleet_of([row(None, 1), row(Some(1), 2)]);
-    assert!(matches!(merged, Merged::Restarted { before: None, .. }));
-    assert_eq!(fleet.merge(row(None, 2), &Meter::default()), Merged::Same);
+    assert!(matches!(
+        merged,
+        MergeOutcome::Restarted { before: None, .. }
+    ));
+    assert_eq!(
+        fleet.merge(row(None, 2), &Meter::default()),
+        MergeOutcome::Unchanged
+    );
     assert_eq!(
         fleet.merge(row(None, 3), &Meter::default()),
-        Merged::Startless
+        MergeOutcome::MissingStart
     );
 }
 
 fn sent_uncached(gateway: &Gateway, parts: &[PromptPart]) -> Option<u32> {
-    let service = gateway.fleet().service("s");
-    let need = Need {
+    let service = gateway.fleet().intern_service("s");
+    let need = Requirements {
         service,
         parts,
         prompt_tokens: parts.iter().map(|p| p.tokens).sum(),
         max_output_tokens: 10,
-        target: Duration::from_secs(10),
-        is_rest: false,
-        is_alone: false,
+        latency_target: Duration::from_secs(10),
+        is_resumed: false,
+        is_isolated: false,
         tried: &[],
     };
     match choose(gateway, &need) {
@@ -168,7 +177,7 @@
 /// A gateway that knows `i-1` in its first start, and all that a start may leave behind.
 fn gateway_with_a_worn_start() -> Arc<Gateway> {
     let gateway = gateway_with(&[]);
-    gateway.fleet().see_starts();
+    gateway.fleet().assume_empty_caches();
     let now = Instant::now();
     merge(
         &gateway,
@@ -179,7 +188,7 @@
     );
     let mut fleet = gateway.fleet();
     let key = fleet.find("i-1").unwrap();
-    fleet.note_parts(key, &prompt(), now);
+    fleet.record_parts(key, &prompt(), now);
     let upstream = fleet.get_mut(key).unwrap();
     for _ in 0..20 {
         upstream.health.failed(1.0, now);
@@ -211,7 +220,10 @@
         "the key is of the earlier start"
     );
     let upstream = fleet.get(fleet.find("i-1").unwrap()).unwrap();
-    assert_eq!((upstream.all_running(), upstream.reading_tokens()), (0, 0));
+    assert_eq!(
+        (upstream.all_running(), upstream.all_waiting_tokens()),
+        (0, 0)
+    );
     assert!(upstream.load().is_none());
     assert!(!upstream.is_suspended(Instant::now()) && !upstream.is_changing(Instant::now()));
 }
@@ -248,7 +260,13 @@
     let (mut peers, now) = (Peers::default(), Instant::now());
     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1));
     peers.hear(ip, beat(1, earlier), &mut fleet, now);
-    let tokens = |fleet: &Fleet| fleet.get(fleet.find("i-1").unwrap()).unwrap().others.tokens;
+    let tokens = |fleet: &Fleet| {
+        fleet
+            .get(fleet.find("i-1").unwrap())
+            .unwrap()
+            .peer_load
+            .tokens
+    };
     assert_eq!(tokens(&fleet), 800);
     fleet.merge(row(Some(2), 2), &Meter::default());
     assert_eq!(tokens(&fleet), 0);
@@ -308,7 +326,7 @@
         let read = both().into_iter().map(Registration::Present).collect();
         merge(gateway, read, true, 1, now);
         // What is missing now may come back; what can't be read isn't missing.
-        gateway.missing().open(now);
+        gateway.missing().begin_grace_period(now);
     }
     let read = vec![unreadable("i-1", 2), Registration::Present(other.clone())];
     merge(&a, read, true, 2, now);
@@ -340,7 +358,7 @@
         1,
         now,
     );
-    gateway.missing().open(now);
+    gateway.missing().begin_grace_period(now);
     merge(&gateway, Vec::new(), true, 2, now);
     assert!(known(&gateway.fleet()).is_some(), "it may come back");
     merge(&gateway, vec![unreadable("i-1", 3)], false, 3, now);
--- a/crates/gateway/tests/tenants.rs
+++ b/crates/gateway/tests/tenants.rs
@@ -72,8 +72,8 @@
     let caller = first.admit(closed, Some(key(1))).unwrap();
     assert_eq!(first.tenant(caller).unwrap().priority, Some(4));
     // An open route takes all, and still tells whose a known key is.
-    assert_eq!(first.admit(open, None), Ok(Caller::Unnamed));
-    assert_eq!(first.admit(open, Some(key(9))), Ok(Caller::Unnamed));
+    assert_eq!(first.admit(open, None), Ok(Caller::Anonymous));
+    assert_eq!(first.admit(open, Some(key(9))), Ok(Caller::Anonymous));
     assert_eq!(first.admit(open, Some(key(1))), Ok(caller));
 
     let second = table(5, Some(vec![tenant(0, &[2], None)]), Some(&first));
@@ -88,7 +88,7 @@
 fn without_tenants_any_request_goes_and_with_none_listed_no_key_does() {
     let unused = table(1, None, None);
     let closed = unused.find("a.example", "/x").unwrap();
-    assert_eq!(unused.admit(closed, None), Ok(Caller::Any));
+    assert_eq!(unused.admit(closed, None), Ok(Caller::Unrestricted));
     let empty = table(2, Some(Vec::new()), Some(&unused));
     let closed = empty.find("a.example", "/x").unwrap();
     assert_eq!(empty.admit(closed, Some(key(1))), Err(Denied::UnknownKey));
--- a/crates/gateway/tests/tree.rs
+++ b/crates/gateway/tests/tree.rs
@@ -126,7 +126,7 @@
             p.own
                 .iter()
                 .for_each(|load| expected[at(load)] -= load.tokens);
-            let seen: Vec<u32> = p.fleet.iter().map(|(_, u)| u.others.tokens).collect();
+            let seen: Vec<u32> = p.fleet.iter().map(|(_, u)| u.peer_load.tokens).collect();
             seen != expected
         };
         live.iter().filter(is_wrong).count()
