--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of a request: one line at its end.
+//! Per-request accounting: one log line and the metrics, written when the request ends.
 
 use crate::answer::{Outcome, Reason};
 use crate::duty::usage::Begin;
@@ -12,100 +12,103 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Label of requests without a route or service.
+/// Label of requests without a route, service or tenant.
 const NONE: &str = "-";
 
-/// What decided the choice of an upstream.
+/// Figures that the choice of an upstream was based on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChoiceInputs {
     /// Estimated time to the first byte.
     pub estimate_ms: f64,
-    /// Of it, what the engine takes that generates from another's KV cache.
+    /// Part of the estimate for generating from a KV cache on another engine.
     pub generator_ms: f64,
-    /// Longest estimate that would have been admitted.
+    /// Longest estimate with which the request is admitted.
     pub admit_ms: f64,
     /// Prompt tokens that were expected not to be cached.
     pub uncached: u32,
-    /// What the engine had to read until the first byte.
+    /// Backlog of the upstream before the first byte.
     pub backlog: Backlog,
-    /// Requests that ran there, of all processes.
+    /// Running requests at the upstream, of all processes.
     pub running: u32,
-    /// Of these, long answers.
+    /// Number of these with long answers.
     pub long_answers: u32,
-    /// How much slower than its kind the upstream was.
+    /// Slowdown of the upstream relative to its service.
     pub slowdown: f64,
-    /// What it was to do first.
+    /// First task for the upstream.
     pub task: Task,
 }
 
 /// The start of an upstream that a request was sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentTo {
-    /// Its key.
+    /// Key of the upstream.
     pub key: UpstreamKey,
-    /// By what processes tell of it, also when it is gone.
+    /// Tag of the start, which identifies it between processes even after its removal.
     pub tag: u32,
 }
 
-/// The account of one request. Dropped without an end, its client has gone.
+/// Accounting of one request. If it is dropped before it is closed, the client has disconnected
+/// or the process is ending.
 #[derive(Debug)]
 pub struct Account {
     gateway: Arc<Gateway>,
     _running: RunningGuard,
-    /// When the request came.
+    /// Time at which the request was received.
     pub received_at: Instant,
     /// Id of the client's attempt.
     pub id: String,
-    /// Version of the configuration that decided.
+    /// Version of the configuration that was applied.
     pub config_version: u64,
     /// Name of the tenant.
     pub tenant: Option<Arc<str>>,
-    /// Version of the configuration that took its key away, if one did.
+    /// Version of the configuration that removed the request's key, if any.
     pub key_removed_by: Option<u64>,
-    /// The route.
+    /// Name of the route.
     pub route: Option<String>,
-    /// The service.
+    /// Name of the service.
     pub service: Option<String>,
-    /// Upstream that was tried last.
+    /// Id of the upstream that was tried last.
     pub upstream: Option<String>,
-    /// That upstream's start.
+    /// Start of that upstream.
     pub last_sent_to: Option<SentTo>,
-    /// Requests that upstreams were sent.
+    /// Number of requests sent to upstreams.
     pub attempts: u32,
-    /// Whether an engine was sent its prompt to read it only.
+    /// Whether a prefill-only engine was sent the prompt.
     pub was_prefilled: bool,
-    /// Whether an upstream may have run it.
+    /// Whether an upstream may have run the request.
     pub may_have_run: bool,
-    /// Whether it has begun to run, as its tenant's usage counts it.
+    /// Whether the request has begun to run, for the tenant's usage.
     pub begin: Begin,
-    /// What decided the last choice.
+    /// Figures of the last choice.
     pub inputs: Option<ChoiceInputs>,
-    /// How long before the request came the stop signal did; none if it came later.
+    /// Time from the stop signal to the arrival of the request; `None` if the signal did not come
+    /// first.
     pub stopping_for: Option<Duration>,
-    /// Tokens of the answer that were expected; none if the request isn't for an engine.
+    /// Expected number of output tokens; `None` if the request is not for an engine.
     pub expected_tokens: Option<u32>,
-    /// Whether its answer was to end before the process, at the last choice; none if the
-    /// process wasn't stopping.
+    /// At the last choice, whether the answer was expected to end before the process; `None` if
+    /// the process wasn't stopping.
     pub outlook: Option<Outlook>,
-    /// Most tokens of the answer; none if the request isn't for an engine.
+    /// Maximum number of output tokens; `None` if the request is not for an engine.
     pub max_output_tokens: Option<u32>,
-    /// What it asks for and who asks, if that was needed.
+    /// Fingerprint of the request and its caller, if it was computed.
     pub fingerprint: Option<Fingerprint>,
-    /// Units taken from its tenant's quota.
+    /// Units taken from the tenant's quota.
     pub grant: Option<Grant>,
-    /// The trial that it is, of work that is held back.
+    /// Number of the trial, if the request is one for work that is suspected of crashing
+    /// upstreams.
     pub trial: Option<usize>,
-    /// Time until its prompt was read by an engine that only reads.
+    /// Time until a prefill-only engine finished the prompt.
     pub prefill_after: Option<Duration>,
     /// Time to the first byte.
     pub first_byte_after: Option<Duration>,
-    /// Status that was sent, once one was.
+    /// Status that was sent; 0 before.
     pub status: u16,
     is_closed: bool,
 }
 
 impl Account {
-    /// The account of a request that came at a time.
+    /// Starts the accounting of a request.
     pub fn open(gateway: &Arc<Gateway>, id: &str, since: Instant) -> Self {
         Self {
             _running: gateway.begin(),
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Whether the request has run, for one that gets no upstream's answer.
+    /// Outcome of a request that gets no answer from an upstream.
     pub fn outcome(&self) -> Outcome {
         match self.may_have_run {
             true => Outcome::Unknown,
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Counts the request once in its tenant's usage, as one that began at a time.
+    /// Counts the request in the tenant's usage, at most once; `at` is when it began to run.
     pub fn count_as_begun(&mut self, at: Instant) {
         let before = std::mem::replace(&mut self.begin, Begin::Counted);
         if let Some(tenant) = self.tenant.as_ref().filter(|_| before != Begin::Counted) {
@@ -154,7 +157,8 @@
         }
     }
 
-    /// Writes the request's line and counts it.
+    /// Logs the request, updates the metrics and commits the quota grant if the request may have
+    /// run. Only the first call has an effect.
     pub fn close(&mut self, outcome: Outcome, reason: Option<Reason>) {
         if std::mem::replace(&mut self.is_closed, true) {
             return;
@@ -224,7 +228,7 @@
     }
 }
 
-/// How long the process had been stopping when a request came.
+/// Time for which the process had been stopping when a request was received.
 fn stopping_for(gateway: &Gateway, since: Instant) -> Option<Duration> {
     since.checked_duration_since(gateway.ending()?.signal_at)
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own, and what each says.
+//! Responses that the gateway generates itself.
 
 use crate::routes::Denied;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -10,61 +10,63 @@
 
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// Why a request didn't get an upstream's answer.
+/// Reason why a request has no complete answer from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// The headers are wrong.
+    /// The headers are invalid.
     Malformed(BadRequest),
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
     /// The body didn't arrive in time.
     SlowBody,
-    /// The body broke off.
+    /// The body is malformed or incomplete.
     BrokenBody,
     /// No route matches.
     NoRoute,
-    /// The route needs a key that a tenant holds, and the request bears none or another.
+    /// The route requires the key of a tenant, and the request has none or another one.
     NoTenant(Denied),
     /// The request's key is unknown, but a peer has a newer configuration than this process.
     ConfigBehind,
-    /// The request's tenant has used up its quota.
+    /// The tenant's quota is exhausted.
     OverQuota,
-    /// No grantor of the tenant's quota can be reached, and this host has no share.
+    /// No quota grantor is reachable, and this host has no share of its own.
     QuotaUnknown,
     /// No configuration has been read yet.
     NoConfig,
-    /// No upstream of the service is usable.
+    /// No upstream of the service is available.
     NoUpstream,
-    /// The process is stopping, and the answer would take longer than it has left.
+    /// The process is stopping before the answer would end.
     Stopping,
-    /// All upstreams have too much to do for an answer in time.
+    /// All upstreams are too busy to answer in time.
     Overloaded,
-    /// Each upstream that was tried said that it didn't run the request.
+    /// Each upstream that was tried reported that it didn't run the request.
     Rejected,
-    /// Upstreams ended under it, also when it was tried alone: it is sent to none any more.
+    /// Upstreams crashed while they ran the request, also when it ran alone. It is not sent
+    /// again.
     CrashesUpstreams,
-    /// Upstreams ended under it, maybe by chance: it is tried whether they do so again.
+    /// Upstreams crashed while they ran the request, possibly by coincidence. Trials are in
+    /// progress.
     CrashSuspected,
-    /// An upstream was lost with the request, which may have run there.
+    /// The connection to an upstream was lost while it may have run the request.
     UpstreamLost,
-    /// The time is up before an answer came.
+    /// The deadline or the timeout passed without an answer.
     TimedOut,
-    /// The process ends before the answer did.
+    /// The process ends before the answer.
     ProcessEnds,
-    /// The client went away.
+    /// The client disconnected.
     ClientGone,
 }
 
 /// Whether a request has run, as far as this process can know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// An upstream's answer was passed on whole.
+    /// An upstream's answer was relayed completely.
     Answered,
-    /// It has not run, and never will.
+    /// The request has not run and will not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// An answer was begun and broken off.
+    /// The answer was begun, but not completed.
     BrokenOff,
 }
 
@@ -81,7 +83,7 @@
 }
 
 impl Reason {
-    /// Name in logs, metrics and answers.
+    /// Name in logs, metrics and responses.
     pub fn name(self) -> &'static str {
         match self {
             Self::Malformed(_) => "malformed",
@@ -109,14 +111,14 @@
         }
     }
 
-    /// The status, which follows from the outcome first: those that promise that
-    /// a request hasn't run are only for requests that haven't.
+    /// Status of the response. It depends on the outcome first: statuses which promise that the
+    /// request hasn't run are used only if that is certain.
     pub fn status(self, outcome: Outcome) -> StatusCode {
         let may_have_run = outcome != Outcome::NotRun;
         match self {
             Self::TimedOut | Self::ProcessEnds if may_have_run => StatusCode::GATEWAY_TIMEOUT,
             _ if may_have_run => StatusCode::BAD_GATEWAY,
-            // Clients take 400 as final: with 503 they would come back, for the same.
+            // Clients treat 400 as final. With 503 they would retry, with the same result.
             Self::Malformed(_) | Self::BrokenBody | Self::CrashesUpstreams => {
                 StatusCode::BAD_REQUEST
             }
@@ -164,8 +166,8 @@
     outcome: &'a str,
 }
 
-/// Builds an answer of the system's own. Only a request that hasn't run may be
-/// asked to come back.
+/// Builds a response for a request that an upstream did not answer. `retry_after` is sent only
+/// for a status that allows a retry, so only if the request hasn't run.
 pub fn gateway_response(
     id: &str,
     outcome: Outcome,
@@ -178,7 +180,7 @@
         request: id,
         outcome: outcome.name(),
     });
-    let text = text.expect("a struct of texts always encodes");
+    let text = text.expect("a struct of strings is always serializable");
     let status = reason.status(outcome);
     let may_return = matches!(
         status,
@@ -188,8 +190,8 @@
     *res.status_mut() = status;
     *res.headers_mut() = header::own_answer(id, retry_after.filter(|_| may_return));
     if may_return {
-        // A client that was refused comes back on a new connection. Kept open, the
-        // old ones took 20 of 28 MB and 680 of 890 descriptors in an overload.
+        // Refused clients retry on a new connection. In an overload, the old connections used 20
+        // of 28 MB of memory and 680 of 890 file descriptors when they were kept open.
         res.headers_mut().insert(CONNECTION, CLOSE);
     }
     res
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one upstream, until its first bytes are back.
+//! Sends a request to one upstream and waits for the first bytes of the answer.
 
 mod split;
 
@@ -25,40 +25,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Largest plain answer that is gathered before it is passed on. A larger one is
-/// passed on as it comes.
+/// Size up to which a plain answer is buffered completely, in bytes. Larger ones are streamed.
 const MAX_BUFFERED_BYTES: u64 = 256 << 10;
-/// Part of the time that an upstream keeps idle connections within which one is
-/// used again. A request on one that is just being closed may be lost, and
-/// nobody can tell whether it has run.
+/// Fraction of the upstream's idle timeout for which an idle connection is reused. A request on a
+/// connection that is being closed may be lost, and nobody can tell whether it has run.
 const IDLE_FRACTION: f64 = 0.5;
-/// The same for an upstream that names no time.
+/// Time for which an idle connection is reused if the upstream names no timeout.
 const DEFAULT_IDLE: Duration = Duration::from_millis(400);
-/// Ranks of requests at an engine, by the length of their answers.
+/// Priorities of requests within an engine, by the length of the answer.
 const LONG_PRIORITY: u8 = 2;
 const SHORT_PRIORITY: u8 = 4;
-/// Weight of a failure of the connection in an upstream's health, and of an
-/// answer that says that the upstream failed: some services answer one request
-/// in seven so, and must not be suspended for it.
+/// Weights in the upstream's health of a connection failure and of a server error. Some services
+/// answer one in seven requests with an error, and must not be suspended for it.
 pub const CONNECTION_FAILURE_WEIGHT: f64 = 0.25;
 const ERROR_ANSWER_WEIGHT: f64 = 0.06;
 
-/// An answer whose first bytes are there.
+/// An answer whose first bytes have arrived.
 #[derive(Debug)]
 pub struct StartedAnswer {
     /// Status.
     pub status: StatusCode,
-    /// Headers as the worker sent them.
+    /// Headers as received from the upstream.
     pub headers: HeaderMap,
-    /// The first bytes of the body; none if it is empty.
+    /// First bytes of the body; `None` if it is empty.
     pub first: Option<Bytes>,
-    /// The rest of the body; none if `first` is all.
+    /// Rest of the body; `None` if `first` is complete.
     pub rest: Option<BodyRest>,
-    /// Load at the upstream, until the answer is through.
+    /// The request's load on the upstream, released when the answer ends.
     pub load: LoadGuard,
 }
 
-/// The rest of an answer's body, with the connection it comes on.
+/// Rest of an answer's body, with its connection.
 #[derive(Debug)]
 pub struct BodyRest {
     /// The body.
@@ -68,36 +65,36 @@
 }
 
 impl BodyRest {
-    /// Gives the connection back. Only after the body's end.
+    /// Returns the connection to the pool. Must be called only after the end of the body.
     pub fn finish(self) {
         drop(self.body);
         self.conn.keep(Some(self.idle));
     }
 }
 
-/// What came of an attempt.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum AttemptResult {
-    /// An answer has begun.
+    /// The answer has begun.
     Started(Box<StartedAnswer>),
-    /// The request hasn't run there, and won't.
+    /// The upstream has not run the request, and will not.
     NotRun(NotRun),
-    /// The request may have run there.
+    /// The upstream may have run the request. Contains the error.
     Unknown(String),
 }
 
-/// Why a request hasn't run at an upstream.
+/// Reason why an upstream has not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
     /// Nothing was sent.
     NotSent,
-    /// The upstream says so.
+    /// The upstream reported that it did not run the request.
     Rejected,
-    /// The prompt wasn't read, or its KV cache can't be had.
+    /// The prefill failed, or its KV cache is not available.
     PrefillFailed,
-    /// The prompt was read, but the process ends before an answer would.
+    /// The prefill succeeded, but the process ends before the answer would.
     NoTime,
-    /// It may be sent to none any more.
+    /// The request may not be sent to any upstream.
     Held(Reason),
 }
 
@@ -106,14 +103,14 @@
         match self {
             Self::NotSent => "not sent",
             Self::Rejected => "rejected",
-            Self::PrefillFailed => "prompt not read",
-            Self::NoTime => "no time left for the answer",
+            Self::PrefillFailed => "prefill failed",
+            Self::NoTime => "process stops before the answer would end",
             Self::Held(why) => why.name(),
         }
     }
 }
 
-/// Sends a request by a plan. Dropped before its end, it is cancelled there.
+/// Sends a request according to a plan. Cancels it at the upstream if dropped.
 pub async fn attempt(
     call: &Call,
     account: &mut Account,
@@ -138,7 +135,7 @@
     tried
 }
 
-/// Logs an attempt that didn't bring the answer.
+/// Logs an attempt without an answer.
 pub fn log_failed_attempt(account: &Account, outcome: &str, why: &str, took: Duration) {
     emit(&Event::AttemptFailed {
         request: &account.id,
@@ -150,7 +147,7 @@
     });
 }
 
-/// Notes that an engine reads a request's prompt.
+/// Records that an engine prefills the request's prompt.
 fn record_parts(call: &Call, plan: &Plan) {
     let parts = &call.incoming.parts;
     call.gateway
@@ -158,7 +155,7 @@
         .record_parts(plan.key, parts, Instant::now());
 }
 
-/// Sends the request itself to an upstream.
+/// Sends the whole request to an upstream.
 pub async fn send_to(
     call: &Call,
     account: &mut Account,
@@ -206,8 +203,8 @@
         record_alive(gateway, plan, since);
     }
     if from_worker.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
-        // NB: the body of a rejection is short; the connection is kept if it
-        // is already there.
+        // NB: the body of a rejection is short; the connection is kept only if the body has
+        // already arrived.
         if body.is_end_stream() {
             conn.keep(Some(idle));
         }
@@ -219,7 +216,7 @@
     let is_bad = !from_worker.is_signed || head.headers.contains_key(CONTENT_ENCODING);
     if head.status.is_success() && is_bad {
         record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
-        return AttemptResult::Unknown("a success without a signature".into());
+        return AttemptResult::Unknown("success status without a response signature".into());
     }
     let rest = BodyRest { body, conn, idle };
     let read = read_first(call, rest).await;
@@ -248,15 +245,15 @@
     }))
 }
 
-/// Notes that an upstream was sent a request: a plain one begins there about then, also if
-/// nobody hears its answer. A stream's first event shows that it has begun.
+/// Records that a request was sent. A plain request is taken to begin to run now, even if its
+/// answer is lost; a stream begins with its first event.
 fn record_sent(call: &Call, account: &mut Account, at: Instant) {
     if !call.target().route.kind.is_stream() && account.begin == Begin::NotSent {
         account.begin = Begin::Sent(at);
     }
 }
 
-/// Notes that an upstream's answer has begun.
+/// Records that an upstream's answer has begun.
 fn record_begun(call: &Call, account: &mut Account, sent_at: Instant) {
     let at = match (call.target().route.kind.is_stream(), account.begin) {
         (true, _) => Instant::now(),
@@ -266,7 +263,7 @@
     account.count_as_begun(at);
 }
 
-/// Reads the beginning of a stream, or the whole of a plain answer.
+/// Reads the first bytes of a stream, or the whole body of a plain answer.
 async fn read_first(
     call: &Call,
     mut rest: BodyRest,
@@ -293,9 +290,9 @@
     }
 }
 
-/// Rank of a request among an engine's own. Engines preempt what is less urgent
-/// whenever their slots are full, and a preempted answer is late for good. A tenant whose
-/// requests are more or less urgent than their route's goes before or behind its like.
+/// Priority of a request within an engine. When their slots are full, engines preempt less urgent
+/// requests, whose answers are then late. Requests of a tenant that are more or less urgent than
+/// the route's are ranked before or after others with answers of the same length.
 fn engine_priority(call: &Call, plan: &Plan) -> u8 {
     let rank = match plan.is_long {
         true => LONG_PRIORITY,
@@ -312,7 +309,7 @@
     header::idle_timeout(headers).map_or(DEFAULT_IDLE, |t| t.mul_f64(IDLE_FRACTION))
 }
 
-/// Builds the request for an upstream; none if it can't be built.
+/// Builds the request for an upstream; `None` if that fails.
 fn build_request(call: &Call, plan: &Plan, step: Step<'_>) -> Option<Request<Body>> {
     let is_engine = call.is_engine;
     let left = call.incoming.deadline.map(|_| call.left());
@@ -332,7 +329,7 @@
     Some(req)
 }
 
-/// Notes an answer's first byte in what is known of the upstream.
+/// Updates the upstream's health, and for an engine its latency model and slowdown.
 fn record_first_byte(gateway: &Arc<Gateway>, call: &Call, plan: &Plan, took: Duration) {
     let ms = took.as_secs_f64() * 1000.0;
     let mut fleet = gateway.fleet();
@@ -353,14 +350,14 @@
     }
 }
 
-/// Notes that an upstream has answered a request that was sent at a time.
+/// Records that an upstream has answered a request sent at the given time, and so was alive.
 fn record_alive(gateway: &Arc<Gateway>, plan: &Plan, sent_at: Instant) {
     if let Some(upstream) = gateway.fleet().get_mut(plan.key) {
         upstream.alive_at = upstream.alive_at.max(Some(sent_at));
     }
 }
 
-/// Notes a failure of an upstream.
+/// Records a failure of an upstream, and logs if it is suspended.
 pub fn record_failure(gateway: &Arc<Gateway>, plan: &Plan, weight: f64) {
     let mut fleet = gateway.fleet();
     let Some(upstream) = fleet.get_mut(plan.key) else {
--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -1,4 +1,4 @@
-//! A prompt that is read at one engine, and whose answer another generates.
+//! Prefills a prompt on one engine and generates the answer on another.
 
 use super::{
     AttemptResult, CONNECTION_FAILURE_WEIGHT, NotRun, build_request, idle_time, log_bad_answer,
@@ -16,20 +16,20 @@
 use platform::worker::Prefilled;
 use std::time::{Duration, Instant};
 
-/// Largest answer to a prefill.
+/// Maximum size of an engine's answer to a prefill, in bytes.
 const MAX_PREFILL_ANSWER: usize = 4096;
-/// Engines that are asked in turn to generate from one KV cache: in the first
-/// second after a crash a third of the generators may refuse connections.
+/// Maximum number of engines that are tried in turn to generate from one KV cache. In the first
+/// second after a crash, a third of the generators may refuse connections.
 const MAX_GENERATORS: usize = 3;
 
-/// Has the prompt read at one engine and the answer generated at another.
+/// Prefills the prompt on the plan's engine, and generates the answer on another.
 pub(super) async fn attempt_split(
     call: &Call,
     account: &mut Account,
     plan: &Plan,
     need: &Requirements<'_>,
 ) -> AttemptResult {
-    // The first time that a prompt is read is free, any other is a retry.
+    // The first prefill of a request is free, others count as retries.
     let is_again = std::mem::replace(&mut account.was_prefilled, true);
     if is_again && !call.gateway.spend_retry(need.service) {
         return AttemptResult::NotRun(NotRun::PrefillFailed);
@@ -45,15 +45,15 @@
     tried
 }
 
-/// Whether the engine that read a prompt has started again since. What it kept is gone,
-/// and the new start may have given the same handle to another prompt.
+/// Whether the engine that prefilled the prompt has restarted. Its KV cache is then lost, and the
+/// new start may use the same handle for another prompt.
 fn has_restarted(call: &Call, plan: &Plan) -> bool {
     let fleet = call.gateway.fleet();
     fleet.has_restarted(plan.key, &plan.instance)
 }
 
-/// Has the answer generated from a KV cache. An engine that doesn't take it, as one
-/// that has just crashed, is passed over for the next: the prompt stays read.
+/// Generates the answer from a KV cache. If an engine doesn't run the request, for example after
+/// a crash, the next one is tried without another prefill.
 async fn generate_from_cache(
     call: &Call,
     account: &mut Account,
@@ -79,7 +79,7 @@
         if let Admission::Held(why) = crashes::admit(call, account).await {
             return AttemptResult::NotRun(NotRun::Held(why));
         }
-        // A rejected send counts against the route's attempts and the budget.
+        // A rejected send counts against the route's attempts and the retry budget.
         if was_rejected && !call.may_retry(account) {
             break;
         }
@@ -100,7 +100,7 @@
     last
 }
 
-/// Frees a KV cache that nobody will take. It lapses by itself if this fails.
+/// Releases a KV cache that is not needed. It expires by itself if the call fails.
 fn release_cache(pool: Pool, prefilled: &Prefilled) {
     const TIMEOUT: Duration = Duration::from_millis(500);
     let req = Request::builder()
@@ -114,7 +114,7 @@
     tokio::spawn(async move { pool.call(req, MAX_PREFILL_ANSWER, TIMEOUT).await });
 }
 
-/// Has the prompt read; none if it wasn't, as far as this process knows.
+/// Prefills the prompt; `None` if that failed, as far as this process can tell.
 async fn prefill(call: &Call, account: &mut Account, plan: &Plan) -> Option<Prefilled> {
     let gateway = &call.gateway;
     let mut load = gateway.add_load(plan.key, plan.inputs.uncached, false);
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -1,7 +1,7 @@
-//! The choice of an upstream for a request, and whether it is admitted at all.
+//! Selects the upstream for a request, and decides whether the request is admitted.
 //!
-//! Plain requests go to the least loaded upstream, prompts to their homes, and long
-//! answers to where the fewest run.
+//! Requests for plain services go to the least loaded upstream, prompts to the engines that are
+//! likely to have them cached, and long answers to the engine with the fewest long answers.
 
 mod home;
 
@@ -16,64 +16,65 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time of the latency target that is kept for the way to the client, for what
-/// other processes send at the same moment, and for errors of the estimate: this
-/// much at least, and this part of a longer target. Targets of 120 to 1,500 ms.
+/// Part of the latency target that is reserved for delivery to the client, for concurrent
+/// requests of other processes and for errors of the estimate: the larger of a minimum and a
+/// fraction of the target. Targets range from 120 to 1,500 ms.
 const ADMIT_MARGIN: Duration = Duration::from_millis(48);
 const ADMIT_MARGIN_FRACTION: f64 = 0.15;
-/// How many times the latency target the estimate for the rest of a broken stream
-/// may take: refused, it would be broken off for good. For all that is sent a
-/// second time the larger bound gained nothing.
+/// Longest estimate for the rest of a broken stream, as a multiple of the latency target, because
+/// refusing it would break the stream off for good. Applying this bound to all retried requests
+/// brought no gain.
 const RESUME_ESTIMATE_FACTOR: f64 = 2.0;
-/// What an upstream in another availability zone costs a plain request, and the
-/// most that chance adds, as load for its slots: a tenth of its slots outweighs
-/// both, and processes that know the same don't all choose the same.
+/// Penalty for an upstream in another availability zone and maximum random penalty for requests
+/// to plain services, as a fraction of the upstream's slots. The jitter keeps processes with the
+/// same information from all choosing the same upstream. A load difference of a tenth of the
+/// slots outweighs both.
 const PLAIN_CROSS_ZONE_LOAD: f64 = 0.1;
 const PLAIN_JITTER: f64 = 0.05;
-/// Answers of more tokens than this hold their slot for seconds.
+/// Answers with more tokens than this occupy a slot for seconds.
 const LONG_ANSWER_TOKENS: u32 = 1024;
-/// What a long answer costs the requests beside it, as work.
+/// Penalty for each long answer that runs on an engine, as it slows down the requests beside it.
 const LONG_ANSWER_COST_MS: f64 = 6.0;
-/// What an engine costs whose slots are all taken by long answers: a second or
-/// more until one ends.
+/// Penalty for an engine with a long answer in each slot: it takes a second or more until one
+/// ends.
 const FULL_SLOTS_COST_MS: f64 = 1000.0;
-/// What a generator in another availability zone than the engine that holds the KV
-/// cache costs, in milliseconds: a cache of 300 MB takes some 7 ms more, and moves
-/// between zones are dear.
+/// Penalty for generating in another availability zone than the engine that holds the KV cache.
+/// Moving a cache of 300 MB between zones takes about 7 ms longer, and traffic between zones is
+/// expensive.
 const CROSS_ZONE_COST_MS: f64 = 10.0;
-/// When a client may come back at the soonest and at the latest. It must find
-/// its latency target still within reach, and not all others with it.
+/// Shortest and longest wait that a refused client is told. The client must still be able to meet
+/// its latency target, and clients must not all return at once.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(150), Duration::from_millis(600));
 
-/// What a request needs of an upstream.
+/// Requirements of a request on its upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Requirements<'a> {
-    /// The service.
+    /// Service that the request is for.
     pub service: ServiceKey,
     /// Parts of the prompt, in order.
     pub parts: &'a [PromptPart],
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
-    /// Time to the first byte that is on time.
+    /// Target for the time to the first byte.
     pub latency_target: Duration,
-    /// Whether this is the rest of a broken stream.
+    /// Whether this resumes a broken stream.
     pub is_resumed: bool,
-    /// Whether it goes where the least else runs, as an upstream may end by it.
+    /// Whether the request is suspected of crashing upstreams and goes to the least loaded one.
     pub is_isolated: bool,
-    /// Upstreams that were tried before.
+    /// Upstreams that are excluded because they were tried before.
     pub tried: &'a [UpstreamKey],
 }
 
 impl Requirements<'_> {
-    /// Whether the answer is so long that it holds its slot for seconds.
+    /// Whether the answer is long enough to occupy a slot for seconds.
     pub fn is_long(&self) -> bool {
         self.max_output_tokens > LONG_ANSWER_TOKENS
     }
 
-    /// Longest estimated time to the first event that is admitted.
+    /// Longest estimate of the time to the first event with which the request is admitted.
     fn max_estimate(&self) -> Duration {
         if self.is_resumed {
             return self.latency_target.mul_f64(RESUME_ESTIMATE_FACTOR);
@@ -82,7 +83,7 @@
         self.latency_target.saturating_sub(margin)
     }
 
-    /// Tokens of the prompt that no other request shares.
+    /// Number of prompt tokens that are not shared with other requests.
     fn unshared_tokens(&self) -> u32 {
         let shared = self.parts.len().saturating_sub(1);
         let shared: u32 = self.parts[..shared].iter().map(|p| p.tokens).sum();
@@ -90,31 +91,31 @@
     }
 }
 
-/// Where a request goes.
+/// The upstream selected for a request, and what it is to do.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: UpstreamKey,
-    /// By what processes tell of its start.
+    /// Tag of the upstream's start, which identifies it between processes.
     pub tag: u32,
-    /// Id of its start.
+    /// Id of the upstream's instance.
     pub instance: String,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: SocketAddr,
-    /// Connections to it.
+    /// Connection pool of the upstream.
     pub pool: Pool,
-    /// What it is to do.
+    /// Task for the upstream.
     pub task: Task,
-    /// Engine from which it may fetch shared parts of the prompt.
+    /// Engine from which the upstream can fetch the KV cache of shared prompt parts.
     pub fetch_from: Option<SocketAddr>,
     /// Whether the answer is long.
     pub is_long: bool,
-    /// What decided.
+    /// Figures that the choice was based on.
     pub inputs: ChoiceInputs,
 }
 
 impl Plan {
-    /// The start of the upstream.
+    /// Identifies the upstream's start.
     pub fn sent_to(&self) -> SentTo {
         SentTo {
             key: self.key,
@@ -123,18 +124,18 @@
     }
 }
 
-/// What the choice came to.
+/// Result of the selection.
 #[derive(Debug, Clone)]
 pub enum Choice {
-    /// Send it.
+    /// Send the request according to the plan.
     Send(Box<Plan>),
-    /// All are too busy; the client may come back after a time.
+    /// All upstreams are too busy; the client may retry after the given time.
     Busy(ChoiceInputs, Duration),
-    /// No upstream is usable.
+    /// No upstream is available.
     NoUpstream,
 }
 
-/// Chooses an upstream for a request.
+/// Selects an upstream for a request.
 pub fn choose(gateway: &Gateway, need: &Requirements<'_>) -> Choice {
     let now = Instant::now();
     let fleet = gateway.fleet();
@@ -150,7 +151,7 @@
     home::choose_home(&fleet, need, now)
 }
 
-/// Chooses an engine that generates from a KV cache that another holds.
+/// Selects an engine to generate from the KV cache on `holder`.
 pub fn choose_generator(gateway: &Gateway, need: &Requirements<'_>, holder: UpstreamKey) -> Choice {
     let now = Instant::now();
     let fleet = gateway.fleet();
@@ -177,7 +178,7 @@
     best.map(|(key, upstream, _)| (key, upstream))
 }
 
-/// Upstreams of the service that may get the request.
+/// Upstreams of the service that are available for the request.
 fn candidates<'a>(
     fleet: &'a Fleet,
     need: &'a Requirements<'_>,
@@ -204,9 +205,10 @@
     }
 }
 
-/// What waits at an engine, with its long answers as work.
+/// Cost of generating on an engine: the estimated time to the first byte, and penalties for long
+/// answers.
 fn generator_cost_ms(fleet: &Fleet, u: &Upstream, task: Task) -> f64 {
-    // Past its slots a request waits for a long answer to end.
+    // When all slots are taken, a request waits until a long answer ends.
     let full_ms = if u.all_streams() >= u.instance.slots {
         FULL_SLOTS_COST_MS
     } else {
@@ -215,7 +217,7 @@
     fleet.estimate_ms(u, task, 0) + f64::from(u.all_streams()) * LONG_ANSWER_COST_MS + full_ms
 }
 
-/// The least loaded upstream for its slots, nearer ones first.
+/// Selects the upstream with the lowest load per slot, with a preference for this zone.
 fn choose_plain(fleet: &Fleet, zone: &str, need: &Requirements<'_>, now: Instant) -> Choice {
     let cost = |u: &Upstream| {
         let load = f64::from(u.all_running()) / f64::from(u.instance.slots);
@@ -232,9 +234,10 @@
     }
 }
 
-/// Where the least else runs, whatever it costs the request: if the upstream ends by it, the
-/// fewest others end with it. One that is cut off has little to do, and would tell nothing of
-/// the request. A prompt is read where its answer is generated, so that it is sent once.
+/// Selects the upstream with the fewest requests regardless of latency, so that as few as
+/// possible are lost if the upstream crashes. An unreachable upstream also has few requests, so a
+/// silent one is the last choice. The prompt is prefilled on the engine that generates, so that
+/// only one engine gets the request.
 fn choose_isolated(fleet: &Fleet, need: &Requirements<'_>, now: Instant) -> Choice {
     let all = candidates(fleet, need, now).filter(|(_, u)| can_generate(u));
     match all.min_by_key(|(_, u)| (u.is_silent(now), u.all_running())) {
@@ -247,7 +250,7 @@
     }
 }
 
-/// The engine with the least work and the fewest long answers.
+/// Selects the engine with the lowest generator cost; a random amount breaks ties.
 fn choose_for_long_answer(fleet: &Fleet, need: &Requirements<'_>, now: Instant) -> Choice {
     let all = candidates(fleet, need, now).filter(|(_, u)| can_generate(u));
     let cost = |u: &Upstream| generator_cost_ms(fleet, u, Task::Generate) + fastrand::f64();
--- a/crates/gateway/src/choose/home.rs
+++ b/crates/gateway/src/choose/home.rs
@@ -1,9 +1,9 @@
-//! Where a prompt is read.
+//! Selects the engine that prefills a prompt, by cache affinity.
 //!
-//! A prompt's shared parts are worth most where they are cached, so all processes
-//! agree, without talking, on a home for each: rendezvous hashing of the last shared
-//! part over the service's engines, weighted by what each can read. A second home
-//! takes prompts whose first has a queue, and fetches the shared parts from there.
+//! Each prompt has a home engine, where its shared parts are likely to be cached. All processes
+//! compute the same home without communication, by weighted rendezvous hashing of the last shared
+//! part. If the home has a queue, a second home takes the prompt and fetches the KV cache of the
+//! shared parts from the first.
 
 use super::{
     Choice, Plan, Requirements, best_generator, can_generate, candidates, plan, retry_after,
@@ -14,21 +14,21 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Share of homes of an engine that only reads prompts, against one that also
-/// generates: it reads some 2.3 times as fast and has no long answers beside. With
-/// a weight of 2, a quarter of the prompts at generating engines was refused on
-/// loaded days, and one in fourteen at the others; 3.2 earns 0.02 to 0.03 more of what is owed.
+/// Weight of a prefill-only engine in the hashing, relative to an engine that also generates. It
+/// prefills about 2.3 times as fast and isn't slowed down by long answers. With a weight of 2,
+/// under load a quarter of the prompts at generating engines was refused, and one in fourteen at
+/// prefill-only ones.
 pub const PREFILL_WEIGHT: f64 = 3.2;
-/// Part of the latency target that a prompt may wait before its own reading, however
-/// long that takes: the largest prompts of a class are late even at an idle engine,
-/// and a late answer is better for their callers than none.
+/// Fraction of the latency target that a prompt may wait before its own prefill, however long
+/// that takes. The largest prompts of a class miss the target even at an idle engine, and clients
+/// prefer a late answer to a refusal.
 const MAX_WAIT_FRACTION: f64 = 0.25;
-/// Engines at which a prompt may be read: its home, and another when that has a queue.
-/// A second one earns 0.03 more of what is owed where reading binds. With three, or at
-/// any reader, more is read again than the shorter queues gain.
+/// Maximum number of engines that are considered for a prompt. A second home helps when prefill
+/// is the bottleneck. With three, or with any prefill engine, repeated prefill costs more than
+/// the shorter queues gain.
 const MAX_HOMES: usize = 2;
 
-/// The prompt's home, if it hasn't too much to do.
+/// Selects the better of the prompt's homes, or refuses the request if the estimate is too long.
 pub(super) fn choose_home(fleet: &Fleet, need: &Requirements<'_>, now: Instant) -> Choice {
     let can_split = candidates(fleet, need, now).any(|(_, u)| can_generate(u));
     let at_prefill_only = can_split && has_enough_prefill_engines(fleet, need.service);
@@ -59,18 +59,18 @@
     Choice::Busy(plan.inputs, retry_after(plan.inputs.estimate_ms))
 }
 
-/// A prompt read at one of its homes.
+/// A home engine considered for a prompt.
 struct Candidate {
     plan: Plan,
-    /// Its estimate, and the time for what must be read there anew, which others
-    /// wait for.
+    /// Estimated time to the first byte, plus the time for repeated prefill and transfers, which
+    /// delays other requests.
     cost_ms: f64,
-    /// Of the estimate, what the engine takes that generates.
+    /// Part of the estimate that is spent at the generating engine.
     generator_ms: f64,
 }
 
 impl Candidate {
-    /// A prompt at a home. `holder` is its first home if this is another one.
+    /// Evaluates a home. `holder` is the prompt's first home if this is another one.
     fn evaluate(
         fleet: &Fleet,
         need: &Requirements<'_>,
@@ -104,20 +104,20 @@
         }
     }
 
-    /// Whether a second home is so much sooner than the first that it is worth
-    /// while: by more than what is read anew there, and by more than the wait for a
-    /// generator, for which a prompt that is read sooner would only wait longer.
+    /// Whether this home is better than the first by more than the estimate for the generator. A
+    /// smaller gain is lost, as a prompt that is prefilled sooner only waits longer for the
+    /// generator.
     fn is_better_than(&self, first: &Self) -> bool {
         first.cost_ms - self.cost_ms > self.generator_ms
     }
 }
 
-/// What an engine other than the first home gets from there.
+/// Transfer of cached prompt parts from the prompt's first home to another engine.
 struct CacheFetch {
     from: Option<SocketAddr>,
-    /// Time that the move takes.
+    /// Estimated time of the transfer.
     ms: f64,
-    /// Tokens that are left to read.
+    /// Tokens that remain to be prefilled.
     uncached: u32,
 }
 
@@ -145,12 +145,12 @@
     }
 }
 
-/// What the generator takes of the time to the first event of a prompt that is read
-/// at a home; nothing where the home generates itself.
+/// Estimated time at the generating engine until the first event of a prompt; zero if the home
+/// generates itself.
 #[derive(Default)]
 struct GeneratorEstimate {
     ms: f64,
-    /// The same if it were idle.
+    /// The estimate for an idle engine.
     idle_estimate_ms: f64,
 }
 
@@ -167,8 +167,7 @@
     }
 }
 
-/// Homes of a prompt, by their rank: the first, where its shared parts are read, and
-/// others that only read, for when the first has too much to do.
+/// Engines for a prompt in order of preference: its first home, followed by prefill-only engines.
 fn homes<'a>(
     parts: &[PromptPart],
     usable: &[(UpstreamKey, &'a Upstream)],
@@ -185,9 +184,9 @@
     first.into_iter().chain(others).collect()
 }
 
-/// Whether prompts are read at engines that only read, and nowhere else: so it is
-/// once at least half of the engines do. Beside answers a prompt is read at half
-/// the speed, and each answer there waits for it.
+/// Whether prompts are prefilled only on prefill-only engines, which is the case once these are
+/// at least half of the engines. Beside running answers, prefill takes twice as long and delays
+/// each of the answers.
 fn has_enough_prefill_engines(fleet: &Fleet, service: ServiceKey) -> bool {
     let engines = fleet
         .iter()
@@ -196,17 +195,17 @@
     prefill_only.len() >= others.len()
 }
 
-/// The part that decides the home: the last that other requests may share.
+/// Hash key of a prompt: its last part that other requests may share.
 fn home_key(parts: &[PromptPart]) -> u64 {
     let shared = parts.len().checked_sub(2);
     shared.map_or_else(|| fastrand::u64(..), |at| parts[at].id)
 }
 
-/// Weighted rendezvous hashing: the upstream with the highest score is the home,
-/// and each gets a share of homes by its weight.
+/// Score of weighted rendezvous hashing. The upstream with the highest score is the home, and
+/// each upstream is home to a share of the keys in proportion to its weight.
 fn home_score(key: u64, upstream: &Upstream) -> f64 {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&key.to_le_bytes(), upstream.hash);
-    // NB: 53 bits make a float between 0 and 1; the half keeps it off both ends.
+    // 53 bits fit a float between 0 and 1; adding a half excludes both ends.
     let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     let weight = match upstream.instance.stage {
         Some(Stage::Prefill | Stage::Both) => PREFILL_WEIGHT,
--- a/crates/gateway/src/division.rs
+++ b/crates/gateway/src/division.rs
@@ -1,89 +1,87 @@
-//! How many engines of a service read prompts, and how many generate.
+//! Decides how many engines of a service prefill prompts, and how many generate answers.
 //!
-//! Nothing here talks to anybody. What is observed is occupancy: how many
-//! engines have a prompt to read, and how many answers are generated at once.
-//! Both need no figure of the engines' speed, and all processes' load counts.
-//! An engine that changes its stage is away for seconds, so the division follows
-//! lasting demand only; short swings are left to routing.
+//! This module does no I/O. It observes occupancy: how many engines have prompts to prefill, and
+//! how many answers are generated at once. Occupancy requires no figures of the engines' speed,
+//! and includes the load of all processes. An engine that changes its stage is unavailable for
+//! seconds, so the division follows only lasting changes of demand; short ones are left to the
+//! choice of upstreams.
 
 pub mod orders;
 
 use platform::Stage;
 use std::time::Duration;
 
-/// Reading of an engine that also generates, against one that only reads: it
-/// reads at half the speed.
+/// Prefill speed of an engine that also generates, relative to a prefill-only engine.
 const GENERATOR_PREFILL_SPEED: f64 = 0.5;
-/// Time over which occupancy is averaged: some 60 prompts at the smallest fleet,
-/// and half of the time that a change takes.
+/// Time constant of the averaged occupancy: about 60 prompts in the smallest fleet, and half of
+/// the time that a stage change takes.
 const AVERAGING_TIME: Duration = Duration::from_millis(1500);
-/// Time in which the remembered peak of answers falls by two thirds. Bursts of
-/// the users' days last up to 14 s.
+/// Time in which the remembered peak of answers falls by two thirds. Bursts last up to 14 s.
 const PEAK_DECAY_TIME: Duration = Duration::from_secs(20);
-/// Occupancy of the readers over which more are wanted. At half, a prompt waits
-/// for as long as it is read, by the mean of a queue with chance arrivals.
+/// Occupancy of prefill engines above which more are needed. By queueing theory for random
+/// arrivals, a prompt then waits on average as long as its prefill takes.
 const PREFILL_FULL_OCCUPANCY: f64 = 0.5;
-/// Occupancy that a new division is to have: the larger prompts of a class are
-/// read for ten times the mean, and wait for each other.
+/// Occupancy of prefill engines after a change. The larger prompts of a class take ten times as
+/// long as the mean, and delay each other.
 const PREFILL_TARGET_OCCUPANCY: f64 = 0.4;
-/// Part of the slots at generators that the peak of answers may take after a
-/// change: twice the peak with a third of the generators lost still fits.
+/// Fraction of the generators' slots that the peak of answers may take after a change. Twice the
+/// peak still fits when a third of the generators is lost.
 const SLOTS_TARGET_FRACTION: f64 = 0.3;
-/// Part of the slots over which generators are too few.
+/// Fraction of the generators' slots above which more generators are needed.
 const SLOTS_FULL_FRACTION: f64 = 0.95;
-/// Part of the engines that goes on generating in any case. With a quarter calm
-/// days earn 0.02 more, and days that lose engines 0.03 to 0.06 less.
+/// Minimum fraction of the engines that generate. A quarter is slightly better when the load is
+/// low, but worse when engines fail.
 const MIN_GENERATORS_FRACTION: f64 = 1.0 / 3.0;
-/// Part of the engines under which generators are brought back, as after a loss.
+/// Fraction of the engines below which generators are restored, for example after failures.
 const RESTORE_GENERATORS_FRACTION: f64 = 1.0 / 6.0;
-/// Answers that one reader keeps running, until the demand is seen: a prompt of
-/// 0.1 s and its answer of 0.8 s make 8; twice that for bursts.
+/// Expected concurrent answers per prefill engine before demand was observed: a prefill of 0.1 s
+/// and an answer of 0.8 s make 8, which is doubled for bursts.
 const INITIAL_ANSWERS_PER_PREFILL_ENGINE: f64 = 16.0;
-/// Part of the engines by which a division must be off before the first request,
-/// when a change costs its order alone, and under load.
+/// Minimum change as a fraction of the engines: before the first request, when a change costs no
+/// more than its order, and under load.
 const MIN_INITIAL_CHANGE_FRACTION: f64 = 0.2;
 const MIN_CHANGE_FRACTION: f64 = 0.125;
-/// Most of the engines that are away at once under load.
+/// Maximum fraction of the engines that change at once under load.
 const MAX_AWAY_FRACTION: f64 = 0.25;
-/// Time without any request or new engine after which the system is taken to stand
-/// ready: engines write their entries each 1.2 s, and reads of them lag by 0.6 s.
+/// Time without requests and new engines after which the fleet is assumed to be complete. Engines
+/// write their registry entries every 1.2 s, and reads lag by 0.6 s.
 const MIN_IDLE: Duration = Duration::from_millis(2000);
-/// Time that demand is watched before an order rests on it.
+/// Minimum time for which demand is observed before a change.
 const MIN_OBSERVED: Duration = Duration::from_millis(2500);
-/// Time for which the readers must be full: as long as a change takes, and longer
-/// than the swings of 2.8 s that the users' days have.
+/// Minimum time for which the prefill engines must be full: as long as a change takes, and longer
+/// than short-term variations of 2.8 s in the load.
 const MIN_FULL: Duration = Duration::from_millis(3000);
 
-/// One engine at one moment, with the load of all processes.
+/// Use of one engine at one time, including the load from all processes.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineUse {
-    /// Whether it only reads prompts.
+    /// Whether it only prefills prompts.
     pub is_prefill_only: bool,
-    /// Whether a prompt waits or is read there.
+    /// Whether a prompt is prefilled or waits for it.
     pub is_prefilling: bool,
-    /// Answers that are generated there.
+    /// Number of answers that are being generated.
     pub generating: u32,
 }
 
-/// How a service's engines are divided.
+/// Division of a service's engines between the stages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Division {
-    /// Engines that only read prompts.
+    /// Number of prefill-only engines.
     pub prefill_engines: u32,
-    /// Engines that generate.
+    /// Number of engines that generate.
     pub generators: u32,
-    /// Requests that each engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
 }
 
-/// What a wanted division rests on.
+/// Reason for a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Basis {
-    /// No request has come yet; the engines' slots alone.
+    /// The engines' number of slots, before the first request.
     Slots,
-    /// Readers are full, and generators are not.
+    /// The prefill engines are full, and the generators are not.
     Prefilling,
-    /// Generators are too few.
+    /// There are too few generators.
     Generating,
 }
 
@@ -98,38 +96,38 @@
     }
 }
 
-/// A division that is better than the one that is.
+/// A change to a better division.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WantedChange {
-    /// Engines that should change now.
+    /// Number of engines to change now.
     pub changes: u32,
-    /// The stage that they should have.
+    /// New stage of these engines.
     pub stage: Stage,
-    /// What it rests on.
+    /// Reason for the change.
     pub basis: Basis,
 }
 
-/// What was observed of a service's demand.
+/// Observed demand of a service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
-    /// Reading, as so many readers at work all the time.
+    /// Average prefill load, in prefill-only engines that are constantly busy.
     pub prefilling: f64,
-    /// Answers that are generated at once.
+    /// Average number of answers that are generated concurrently.
     pub generating: f64,
-    /// The most of these, fading.
+    /// Decaying peak of that number.
     pub peak: f64,
-    /// Engines at the last sample.
+    /// Number of engines at the last sample.
     engines: u32,
-    /// Time that was watched before the first request, with the same engines.
+    /// Time of observation before the first request, without a change of the number of engines.
     idle_for: Duration,
-    /// Time that was watched since.
+    /// Time of observation since the first request.
     observed_for: Duration,
-    /// Time for which the readers have been full.
+    /// Time for which the prefill engines have been full.
     full_for: Duration,
 }
 
 impl Demand {
-    /// Takes the engines' use at a moment, which stands for the time since the last.
+    /// Adds a sample of the engines' use, which counts for the time since the last one.
     pub fn sample(&mut self, engines: impl Iterator<Item = EngineUse>, since: Duration) {
         let (mut prefilling, mut generating) = (0.0, 0.0);
         let before = std::mem::take(&mut self.engines);
@@ -164,8 +162,8 @@
         self.peak = (self.peak * decay).max(generating);
     }
 
-    /// The change of a division that the demand speaks for, if any. `is_first_start`
-    /// says that the whole system is starting, so that no request ran before.
+    /// Returns the change that the demand requires, if any. `is_first_start` is true if the whole
+    /// system is starting, so that there were no requests before.
     pub fn wanted_change(&self, now: Division, is_first_start: bool) -> Option<WantedChange> {
         if now.engines() < 2 {
             return None;
@@ -207,8 +205,8 @@
             .saturating_sub(now.generators)
             .min(now.prefill_engines);
         let wanted = now.change_under_load(changes, Stage::Decode, Basis::Generating);
-        // Without any generator nothing is served; one is brought back however few
-        // engines there are.
+        // Nothing can be served without a generator, so one is restored even in the smallest
+        // fleet.
         wanted.or((now.generators == 0).then_some(WantedChange {
             changes: 1,
             stage: Stage::Decode,
@@ -218,7 +216,7 @@
 }
 
 impl Division {
-    /// All engines.
+    /// Number of all engines.
     pub fn engines(self) -> u32 {
         self.prefill_engines + self.generators
     }
@@ -227,14 +225,14 @@
         f64::from(self.engines()) * fraction
     }
 
-    /// Engines that must go on generating at a peak of answers.
+    /// Minimum number of generators for a peak of answers.
     fn min_generators(self, peak: f64) -> u32 {
         let by_slots = peak / (SLOTS_TARGET_FRACTION * f64::from(self.slots.max(1)));
         by_slots.max(self.fraction(MIN_GENERATORS_FRACTION)).ceil() as u32
     }
 
-    /// The division for a start, by the engines' slots: deep batches let few
-    /// engines generate for many that read.
+    /// Change before the first request, according to the engines' slots. The more requests an
+    /// engine runs concurrently, the fewer generators are needed per prefill engine.
     fn initial_change(self) -> Option<WantedChange> {
         let slots = f64::from(self.slots.max(1));
         let by_slots = self.fraction(
--- a/crates/gateway/src/division/orders.rs
+++ b/crates/gateway/src/division/orders.rs
@@ -1,8 +1,7 @@
-//! Watches the demand, and gives orders where another division serves it better.
+//! Observes the demand, and orders engines to change their stage if another division is better.
 //!
-//! Each process watches; the first of those that are alive decides. An order's
-//! outcome is what the registry shows later: an answer that is lost, or an order
-//! that is carried out late, changes nothing of that.
+//! All processes observe, but only the first live one decides. Whether an order was carried out
+//! is read from the registry, so lost answers and late execution do no harm.
 
 use super::{Demand, Division, EngineUse, WantedChange};
 use crate::duty::lease::Held;
@@ -19,21 +18,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the engines' use: a prompt is read for some 100 ms
-/// where reading binds.
+/// Interval between samples of the engines' use. When prefill is the bottleneck, a prompt takes
+/// about 100 ms.
 const SAMPLE_EVERY: Duration = Duration::from_millis(50);
-/// Longest wait for an engine's answer.
+/// Timeout of a call to an engine.
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest answer of an engine to a report or an order.
+/// Maximum size of an engine's answer to a report request or an order, in bytes.
 const MAX_ANSWER: usize = 64 << 10;
-/// How much longer than a change of stage takes its engine gets no request, unless
-/// the registry shows the new stage: running answers end first, and the registry
-/// lags by a heartbeat and a read.
+/// Time for which a changing engine gets no requests beyond the duration of the stage change,
+/// unless the registry shows the new stage. Running answers end first, and the registry lags by a
+/// heartbeat and a read.
 const CHANGE_MARGIN: Duration = Duration::from_secs(5);
-/// Pause after orders, besides the change itself, in which the new division shows.
+/// Pause after a stage change until the effect of the new division shows.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// An engine that should change its stage.
+/// An engine that is to change its stage.
 #[derive(Debug, Clone)]
 struct Target {
     key: UpstreamKey,
@@ -42,16 +41,16 @@
     start: Option<Start>,
 }
 
-/// A service whose engines are watched.
+/// A service whose demand is observed.
 #[derive(Debug)]
 struct WatchedService {
     service: ServiceKey,
     demand: Demand,
-    /// No decision before this time.
+    /// Time before which no decision is made.
     paused_until: Instant,
 }
 
-/// Watches all services with engines until the process ends.
+/// Observes all services with engines until the process ends.
 pub async fn run(gateway: Arc<Gateway>) {
     let mut client = Client::new(&gateway);
     let mut all: Vec<WatchedService> = Vec::new();
@@ -73,7 +72,7 @@
     }
 }
 
-/// Takes the use of all engines.
+/// Adds a sample of the use of all engines.
 fn sample_demand(gateway: &Gateway, all: &mut Vec<WatchedService>, since: Duration) {
     let fleet = gateway.fleet();
     for service in fleet.engine_services() {
@@ -94,7 +93,7 @@
     }
 }
 
-/// Engines of a service that divide its work.
+/// Engines of a service with a prefill or decode stage.
 fn engines(fleet: &Fleet, service: ServiceKey) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
     let all = fleet.iter();
     all.filter(move |(_, u)| {
@@ -114,8 +113,8 @@
     }
 }
 
-/// Looks whether another division is better, and orders it. Gives the time until
-/// the next look.
+/// Checks whether another division is better, and orders the change. Returns the time until the
+/// next check.
 async fn decide_and_order(
     gateway: &Arc<Gateway>,
     client: &mut Client,
@@ -149,7 +148,7 @@
             upstream.set_changing(now + unavailable_for, wanted.stage);
         }
     }
-    // Peers hear of it first, so that they send no request that would be refused.
+    // Peers are notified first, so that they send no requests that would be refused.
     tokio::time::sleep(exchange::time_to_tell(gateway)).await;
     for target in &targets {
         let may_run = send_order(gateway, target, wanted.stage, held).await;
@@ -197,8 +196,8 @@
     });
 }
 
-/// The engines that change: from the zone that has the most like them, and there
-/// those with the least to do, so that each zone keeps some of each.
+/// Selects the engines to change: from the zone with the most candidates, and there those with
+/// the least load, so that each zone keeps engines of both kinds.
 fn pick_engines(fleet: &Fleet, service: ServiceKey, wanted: WantedChange) -> Vec<Target> {
     let to_read = wanted.stage == Stage::Prefill;
     let fit = engines(fleet, service).filter(|(_, u)| u.is_prefill_only() != to_read);
@@ -225,7 +224,7 @@
     out
 }
 
-/// Gives one engine its order; says whether it may be carried out.
+/// Sends an order to one engine. Returns whether it may be carried out.
 async fn send_order(gateway: &Arc<Gateway>, target: &Target, stage: Stage, held: Held) -> bool {
     let pool = Pool::new(target.addr, ENGINE_TIMEOUT).metered(&gateway.upstream_bytes);
     let report = match report(&pool).await {
@@ -233,7 +232,7 @@
         Err(why) => return log_order(target, stage, held, None, &why, false),
     };
     if target.start.is_some() && report.start != target.start {
-        // Its counts are of the one start, what the registry says is of the other.
+        // The report's order count belongs to another start than the registry entry.
         return log_order(target, stage, held, Some(report), "another start", false);
     }
     if report.is_busy {
@@ -287,7 +286,7 @@
     pool.call(req, MAX_ANSWER, ENGINE_TIMEOUT).await
 }
 
-/// Logs what came of an order; gives whether it may be carried out.
+/// Logs the outcome of an order. Returns `may_run`.
 fn log_order(
     target: &Target,
     stage: Stage,
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,9 +1,9 @@
-//! What this process believes of the upstreams.
+//! State of all upstreams and services, as known to this process.
 //!
-//! Upstreams come from the registry and stand in an arena under small keys; a
-//! key of an upstream that is gone finds nothing. Beside what the registry says
-//! stands what this process has seen itself: its own requests there, how long
-//! first bytes take, failures, and which prompt parts were sent there.
+//! Upstreams are added from the registry and stored in an arena. A key contains a generation, so
+//! the key of a removed upstream finds nothing. Besides the registry entry, the state has what
+//! this process observed: its own requests, times to first bytes, failures, and which prompt
+//! parts were sent where.
 
 pub mod cache;
 pub mod durations;
@@ -24,37 +24,35 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Longest wait for a connection to an upstream. Within a region a connection
-/// takes a few milliseconds; a host that is cut off never answers, and the
-/// request must still reach another in time.
+/// Timeout for connecting to an upstream. A connection within a region takes a few milliseconds.
+/// An unreachable host never answers, and there must be time left to try another.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time that a move of memory between engines takes besides its bytes.
+/// Fixed part of the time to transfer a KV cache between engines.
 const TRANSFER_SETUP_MS: f64 = 5.0;
-/// A service by its place in the fleet's list. Services are never forgotten, so
-/// a key stays valid.
+/// Index of a service. Services are never removed, so a key remains valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceKey(u16);
 
-/// An upstream by its place in the arena.
+/// Index and generation of an upstream in the arena.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamKey {
     index: u32,
     generation: u32,
 }
 
-/// What is known of a service as a whole.
+/// State of a service.
 #[derive(Debug)]
 pub struct ServiceInfo {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Figures of its engines; none for a plain service.
+    /// Parameters of its engines; `None` for a plain service.
     pub engine: Option<Engine>,
-    /// Bounds on the number of its upstreams, if that is ours to choose.
+    /// Bounds on the number of its upstreams; `None` if the number is not managed here.
     pub scaling: Option<Scaling>,
-    /// Measured speeds of its upstreams, by task.
+    /// Latency models of its upstreams, indexed by [`Task`].
     latency_models: [LatencyModel; 3],
-    /// How long its answers take.
+    /// Durations of its answers.
     durations: Durations,
 }
 
@@ -69,28 +67,27 @@
 pub struct Fleet {
     services: Vec<ServiceInfo>,
     arena: Vec<ArenaSlot>,
-    /// Slots without an upstream.
+    /// Indexes of arena slots without an upstream.
     free_slots: Vec<u32>,
-    /// Keys by the hash of the upstream's id, sorted: each heartbeat in the registry
-    /// looks one up.
+    /// Keys by the hash of the upstream's id, sorted. Each heartbeat in the registry causes a
+    /// lookup.
     by_hash: Vec<(u64, UpstreamKey)>,
-    /// Keys by the tag of the upstream's start, sorted: each datagram of a peer looks
-    /// some up.
+    /// Keys by the tag of the upstream's start, sorted. Each datagram from a peer causes lookups.
     by_tag: Vec<(u32, UpstreamKey)>,
-    /// Starts of ids, to tell one that was replaced.
+    /// Known starts per id, to detect entries of replaced ones.
     starts: StartHistory,
-    /// Sum of the hashes of what the registry says of each upstream. The order in
-    /// which upstreams came differs between processes; a sum doesn't depend on it.
+    /// Sum of the hashes of all registry entries. Upstreams are added in different orders by
+    /// different processes, and a sum doesn't depend on the order.
     view: u64,
-    /// Whether engines that are added now have just started.
+    /// Whether engines that are added from now on have just started, with empty caches.
     new_caches_empty: bool,
-    /// Parts that this process was the first to send somewhere, as far as it knows,
-    /// with the time.
+    /// Prompt parts that this process was the first to send to an engine, as far as it knows,
+    /// with the times.
     placements: VecDeque<(Instant, Placement)>,
 }
 
 impl Fleet {
-    /// The key of a service; one that is new gets a key.
+    /// Returns the key of a service, and adds the service if it is new.
     pub fn intern_service(&mut self, name: &str) -> ServiceKey {
         let known = self.services.iter().position(|s| s.name == name);
         let at = known.unwrap_or_else(|| {
@@ -100,7 +97,7 @@
         ServiceKey(at as u16)
     }
 
-    /// Takes a service's figures from the configuration.
+    /// Sets a service's parameters from the configuration.
     pub fn configure(&mut self, service: &Service) {
         let key = self.intern_service(&service.name);
         let info = &mut self.services[usize::from(key.0)];
@@ -108,30 +105,29 @@
         info.scaling = service.scaling;
     }
 
-    /// A service by its key.
+    /// Returns the state of a service.
     pub fn info(&self, key: ServiceKey) -> &ServiceInfo {
         &self.services[usize::from(key.0)]
     }
 
-    /// The measured speed of a service's upstreams at a task.
+    /// Latency model of a service's upstreams for a task.
     pub fn latency_model_mut(&mut self, key: ServiceKey, task: Task) -> &mut LatencyModel {
         &mut self.services[usize::from(key.0)].latency_models[task as usize]
     }
 
-    /// How long a service's answers take.
+    /// Durations of a service's answers.
     pub fn durations_mut(&mut self, key: ServiceKey) -> &mut Durations {
         &mut self.services[usize::from(key.0)].durations
     }
 
-    /// What another process may take of how long answers take.
+    /// Durations of answers, for other processes.
     pub fn duration_snapshots(&self, now: Instant) -> Vec<DurationSnapshot> {
         let services = self.services.iter();
         let snapshots = services.filter_map(|s| s.durations.snapshot(&s.name, now));
         snapshots.collect()
     }
 
-    /// Takes what another process has seen of how long answers take, of services that are
-    /// known here.
+    /// Merges durations that another process observed. Unknown services are ignored.
     pub fn merge_durations(&mut self, all: &[DurationSnapshot], now: Instant) {
         for snapshot in all {
             let known = self
@@ -144,21 +140,21 @@
         }
     }
 
-    /// An upstream, if it is still known.
+    /// Returns an upstream, unless it was removed.
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
         let slot = self.arena.get(key.index as usize)?;
         let is_same = slot.generation == key.generation;
         slot.upstream.as_ref().filter(|_| is_same)
     }
 
-    /// An upstream for changes, if it is still known.
+    /// Returns an upstream mutably, unless it was removed.
     pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Upstream> {
         let slot = self.arena.get_mut(key.index as usize)?;
         let is_same = slot.generation == key.generation;
         slot.upstream.as_mut().filter(|_| is_same)
     }
 
-    /// All upstreams with their keys.
+    /// Iterates over all upstreams and their keys.
     pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
         let arena = self.arena.iter().enumerate();
         arena.filter_map(|(index, slot)| {
@@ -170,12 +166,12 @@
         })
     }
 
-    /// The upstream with an id.
+    /// Finds an upstream by its id.
     pub fn find(&self, id: &str) -> Option<UpstreamKey> {
         self.key_of(id_hash(id))
     }
 
-    /// Whether an id stands for another start now than the one with a key.
+    /// Whether the id now belongs to a later start than the one with the given key.
     pub fn has_restarted(&self, key: UpstreamKey, id: &str) -> bool {
         self.find(id).is_some_and(|now| now != key)
     }
@@ -185,15 +181,15 @@
         at.ok().map(|at| self.by_hash[at].1)
     }
 
-    /// Estimated time to the first byte of a request that an upstream is sent now,
-    /// in milliseconds.
+    /// Estimated time to the first byte of a request that is sent to an upstream now, in
+    /// milliseconds.
     pub fn estimate_ms(&self, upstream: &Upstream, task: Task, uncached: u32) -> f64 {
         let model = self.info(upstream.service).latency_model(task);
         model.estimate(upstream.backlog(uncached)) * upstream.slowdown.factor()
     }
 
-    /// Notes that engines which are added from now on have just started: so it is
-    /// once the registry was read, and all along when the whole system starts.
+    /// Treats engines that are added from now on as newly started, with empty caches. This holds
+    /// once the registry has been read, and from the beginning if the whole system starts.
     pub fn assume_empty_caches(&mut self) {
         self.new_caches_empty = true;
     }
@@ -205,14 +201,14 @@
             .map(|(at, _)| ServiceKey(at as u16))
     }
 
-    /// Services whose number of upstreams is ours to choose, with its bounds.
+    /// Services whose number of upstreams is managed here, with the bounds.
     pub fn scaled_services(&self) -> Vec<(ServiceKey, Scaling)> {
         let all = self.services.iter().enumerate();
         all.filter_map(|(at, s)| Some((ServiceKey(at as u16), s.scaling?)))
             .collect()
     }
 
-    /// Engines that are away for a change that was ordered.
+    /// Engines that are unavailable because of an ordered stage change.
     pub fn changing(&self, now: Instant) -> Vec<Changing> {
         let changing = self.iter().filter_map(|(_, u)| {
             Some(Changing {
@@ -223,8 +219,7 @@
         changing.collect()
     }
 
-    /// Estimated time to the first byte at an idle upstream that is as fast as its
-    /// kind, in milliseconds.
+    /// Estimated time to the first byte at an idle upstream without a slowdown, in milliseconds.
     pub fn idle_estimate_ms(&self, upstream: &Upstream, task: Task, uncached: u32) -> f64 {
         let backlog = Backlog {
             prompts: 0.0,
@@ -236,7 +231,8 @@
             .estimate(backlog)
     }
 
-    /// Time in which so many tokens move from one engine's memory to another's.
+    /// Estimated time to transfer the KV cache of a number of tokens between two engines, in
+    /// milliseconds.
     pub fn transfer_ms(&self, from: &Upstream, to: &Upstream, tokens: u32) -> f64 {
         let Some(engine) = self.info(from.service).engine else {
             return 0.0;
@@ -249,7 +245,7 @@
         }
     }
 
-    /// The upstream with a tag, for changes.
+    /// Finds an upstream by the tag of its start.
     pub fn get_mut_by_tag(&mut self, tag: u32) -> Option<&mut Upstream> {
         self.get_mut(self.key_of_tag(tag)?)
     }
@@ -259,30 +255,30 @@
         at.ok().map(|at| self.by_tag[at].1)
     }
 
-    /// Upstreams that are known.
+    /// Number of upstreams.
     pub fn len(&self) -> usize {
         self.by_hash.len()
     }
 
-    /// Whether no upstream is known.
+    /// Whether there are no upstreams.
     pub fn is_empty(&self) -> bool {
         self.by_hash.is_empty()
     }
 
-    /// Hash of all that the registry says of upstreams. Two processes with the
-    /// same hash know the same.
+    /// Hash of the registry entries of all upstreams. Processes with equal hashes have the same
+    /// information.
     pub fn view(&self) -> u64 {
         self.view
     }
 }
 
-/// Part of the hash of an upstream's id and start by which processes tell of it, so that
-/// what a peer says of an earlier start counts for none. Among 600 upstreams two have the
-/// same once in 24,000 fleets; their loads would be mixed up then.
+/// Tag of an upstream's start: half of the hash of its id and start. Peers identify upstreams by
+/// it, so that loads reported for an earlier start are ignored. Of 600 upstreams, two share a tag
+/// in one of 24,000 fleets, and their loads would then be mixed up.
 ///
-/// The start is hashed along with the id: as a seed of the hash it would only be added to
-/// what is hashed of a short id, and two ids that differ in a bit would have the same tag
-/// once their starts differ in that bit too.
+/// The start is part of the hashed text and not the seed: a seed would only be added to the
+/// hashed bytes of a short id, and two ids that differ in one bit would have the same tag if
+/// their starts also differ in that bit.
 fn tag_of(id: &str, start: Option<Start>) -> u32 {
     let start = start.map_or(0, |Start(ms)| ms);
     let text = [id.as_bytes(), &start.to_le_bytes()].concat();
@@ -306,12 +302,12 @@
         }
     }
 
-    /// How long the service's answers take.
+    /// Durations of the service's answers.
     pub fn durations(&self) -> &Durations {
         &self.durations
     }
 
-    /// The measured speed of the service's upstreams at a task.
+    /// Latency model of the service's upstreams for a task.
     pub fn latency_model(&self, task: Task) -> &LatencyModel {
         &self.latency_models[task as usize]
     }
--- a/crates/gateway/src/fleet/cache.rs
+++ b/crates/gateway/src/fleet/cache.rs
@@ -1,14 +1,14 @@
-//! Which prompt parts an engine's cache is taken to hold.
+//! Estimates which prompt parts an engine has cached.
 //!
-//! Engines keep what they have read until the memory is needed, the parts that
-//! were used least recently first. A process knows what it has sent there, and
-//! what its peers tell of their first sends.
+//! Engines keep the KV cache of prompts until they need the memory, and evict the least recently
+//! used parts first. A process knows the parts that it sent itself, and those that peers
+//! reported.
 
 use platform::PromptPart;
 use std::time::Instant;
 
-/// Part of an engine's memory that shared parts are taken to fill. The rest goes to
-/// running requests, and to the parts of a prompt that nobody shares.
+/// Fraction of an engine's cache that is assumed to hold shared parts. The rest is used by
+/// running requests and by prompt parts that are not shared.
 const SHARED_PARTS_FRACTION: f64 = 0.5;
 
 #[derive(Debug, Clone, Copy)]
@@ -17,17 +17,17 @@
     used_at: Instant,
 }
 
-/// Parts that one engine is taken to hold.
+/// Prompt parts that an engine is assumed to have cached.
 #[derive(Debug, Default)]
 pub struct CacheEstimate {
-    /// Sorted by the part's id.
+    /// Sorted by part id.
     entries: Vec<Entry>,
     tokens: u64,
 }
 
 impl CacheEstimate {
-    /// Notes a part that is sent there, for a memory of so many tokens. Says
-    /// whether it is new.
+    /// Records a part that is sent to the engine, whose cache holds `memory` tokens. Returns
+    /// whether the part is new.
     pub fn record(&mut self, part: PromptPart, memory: u32, now: Instant) -> bool {
         let at = self.entries.binary_search_by_key(&part.id, |e| e.part.id);
         match at {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Forgets what was used least recently, until the rest fits.
+    /// Evicts the least recently used parts until the others fit.
     fn evict(&mut self, memory: u32) {
         let limit = (f64::from(memory) * SHARED_PARTS_FRACTION) as u64;
         while self.tokens > limit && self.entries.len() > 1 {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Tokens of a prompt's shared parts that must be read. A part is of use only
-    /// behind all parts before it.
+    /// Number of tokens of the shared parts that must be prefilled. A cached part is usable only
+    /// if all parts before it are cached.
     pub fn missing_tokens(&self, shared: &[PromptPart]) -> u32 {
         let cached = shared.iter().take_while(|part| self.contains(part.id));
         let cached: u32 = cached.map(|p| p.tokens).sum();
@@ -73,7 +73,7 @@
             .is_ok()
     }
 
-    /// Forgets all, as after a change of the engine's stage.
+    /// Removes all parts, for example after a stage change of the engine.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/gateway/src/fleet/durations.rs
+++ b/crates/gateway/src/fleet/durations.rs
@@ -1,10 +1,10 @@
-//! How long answers take past the estimate of their first byte, learned from whole ones.
+//! Estimates an upper bound of the time that answers take beyond the estimated first byte.
 //!
-//! A process that is stopping takes a request only if its answer will end before the
-//! process does. The mean doesn't help there: each answer that takes longer is cut off. So
-//! the slowest answer of about the same length in the last minutes stands for the next one.
-//! What a stop may cut off then are the answers of its last seconds that are slower than all
-//! of these minutes, which is rare whatever the rate.
+//! A process that is stopping accepts a request only if the answer will end before the process
+//! does. A mean is not enough, as each answer that takes longer would be cut off. The bound is
+//! therefore taken from the slowest answer of similar length within the last minutes. Only those
+//! answers of the process's last seconds are cut off that are slower than all answers of these
+//! minutes, which is rare at any request rate.
 
 mod snapshot;
 
@@ -13,58 +13,59 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time in which answers count, in windows that are forgotten one by one: long against the
-/// seconds of a stop, and no longer than load and fleet stay about the same.
+/// Length and number of the windows in which answers are counted; expired windows are dropped one
+/// by one. The total is long compared to the seconds of a stop, and short enough that load and
+/// fleet stay about the same.
 const WINDOW: Duration = Duration::from_secs(30);
 const WINDOWS: usize = 10;
-/// Answers from which a bound is taken, at least: of fewer the slowest tells little. Rare
-/// lengths borrow those of the lengths next to them.
+/// Minimum number of answers for a bound, as the slowest of fewer says little. Rare lengths use
+/// answers of neighbouring lengths too.
 const MIN_ANSWERS: usize = 16;
-/// What is added to the slowest answer, as a share: clients' estimates of lengths are often
-/// far off, and the next answer may be slower still.
+/// Fraction that is added to the slowest answer. Length hints of clients are often far off, and
+/// the next answer may be slower still.
 const MARGIN: f64 = 0.3;
-/// The same for answers that were watched for a short time only, divided by that time: the
-/// seconds of a stop in which an answer slower than all before would be cut off. Answers of a
-/// length that were watched for less say nothing, however many they are; just past it the
-/// whole is added, after a minute next to nothing.
+/// Minimum time over which answers must be observed, however many there are. The margin grows by
+/// this time divided by the observed time: just past the minimum the slowest duration is added
+/// once more, after a minute next to nothing. The value matches the seconds of a stop in which an
+/// answer slower than all before would be cut off.
 const MIN_OBSERVED: Duration = Duration::from_secs(5);
-/// Time taken for granted while too few answers were seen: a part for each, and one for each
-/// token that an answer may have, the pace that the product promises for 95 in 100 tokens.
+/// Default bound while there are too few answers: a fixed part and a part per output token, which
+/// is the pace promised for 95 % of the tokens.
 const DEFAULT_BASE: Duration = Duration::from_secs(1);
-/// The same for an answer of which the route alone is known: until its request's own time is
-/// over.
+/// Default bound for an answer of which only the route is known: only the request's own timeout
+/// limits it.
 const DEFAULT_PLAIN: Duration = Duration::MAX;
 const DEFAULT_PER_TOKEN: Duration = Duration::from_millis(25);
-/// Longest answers that have a class of their own: 2^16 tokens.
+/// Number of length classes; the last one begins at 2^16 tokens.
 const MAX_LENGTH_BITS: u32 = 17;
 const CLASSES: usize = MAX_LENGTH_BITS as usize;
-/// Routes that are kept of one service. Configurations come and go; past this many all
-/// are learned anew.
+/// Maximum number of routes per service. Routes come and go with configurations; at the limit all
+/// samples are dropped.
 const MAX_ROUTES: usize = 1024;
 
-/// What is known of an answer's length before it comes.
+/// What is known about an answer's length in advance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Length {
-    /// Another's than an engine's: its route alone says something.
+    /// An answer of a plain service, of which only the route is known.
     Plain {
         /// Hash of the route's name.
         route: u64,
     },
-    /// An engine's answer.
+    /// An answer of an engine.
     Tokens {
-        /// Tokens that the client expects.
+        /// Number of tokens that the client expects.
         expected: u32,
-        /// The most that it may have.
+        /// Maximum number of tokens.
         max: u32,
     },
 }
 
-/// How long answers of one service take, by their length.
+/// Durations of the answers of one service, grouped by length.
 #[derive(Debug, Default)]
 pub struct Durations {
-    /// Engines' answers, by class of length; see [`class`].
+    /// Answers of engines, by length class; see [`class`].
     classes: Vec<Samples>,
-    /// Others, sorted by route.
+    /// Answers of plain services, sorted by route.
     routes: Vec<RouteSamples>,
 }
 
@@ -75,17 +76,17 @@
     answers: Samples,
 }
 
-/// Answers of one class.
+/// Answers of one length class or route.
 #[derive(Debug, Default)]
 struct Samples {
-    /// The last windows, the newest first.
+    /// Most recent windows, newest first.
     windows: VecDeque<Window>,
-    /// When those came that are being streamed now: a process that has just started has
-    /// seen the end of short answers only.
+    /// Times at which the requests of unfinished streams were received. Without them, a newly
+    /// started process would know only short answers.
     running: Vec<Instant>,
 }
 
-/// Answers that ended in a span of time.
+/// Answers that ended within one time window.
 #[derive(Debug, Clone, Copy)]
 struct Window {
     since: Instant,
@@ -93,26 +94,27 @@
     slowest: Duration,
 }
 
-/// A class that tells something of another.
+/// A length class whose answers are used for another class.
 #[derive(Debug, Clone, Copy)]
 struct SimilarClass {
     class: usize,
-    /// How many times longer than its answers those of the other class may be.
+    /// Factor by which the answers' durations are multiplied for the other class.
     factor: u32,
 }
 
 impl Durations {
-    /// Notes a whole answer that ended now, so long after the estimate of its first byte.
+    /// Records a complete answer that ended now; `took` counts from the estimated first byte.
     pub fn record(&mut self, length: Length, took: Duration, now: Instant) {
         self.samples_mut(length).push(took, now);
     }
 
-    /// Notes that an answer is streamed whose request came at a time.
+    /// Records the begin of a streamed answer; `since` is the time at which the request was
+    /// received.
     pub fn begin(&mut self, length: Length, since: Instant) {
         self.samples_mut(length).running.push(since);
     }
 
-    /// Notes that such an answer has ended, whole or not.
+    /// Records the end of a streamed answer, complete or not.
     pub fn end(&mut self, length: Length, since: Instant) {
         let running = &mut self.samples_mut(length).running;
         if let Some(at) = running.iter().position(|s| *s == since) {
@@ -120,8 +122,7 @@
         }
     }
 
-    /// How long after the estimate of its first byte an answer ends at the latest, as far as
-    /// is known.
+    /// Upper bound of the time from the estimated first byte to the end of an answer.
     pub fn upper_bound(&self, length: Length, now: Instant) -> Duration {
         let mut count = 0;
         let mut slowest = Duration::ZERO;
@@ -139,8 +140,7 @@
             .max(length.default_duration())
     }
 
-    /// The answers that tell most of one, from the nearest on, and how many times longer than
-    /// theirs it may be.
+    /// Samples that apply to an answer, most similar first, with factors for their durations.
     fn similar_samples(&self, length: Length) -> Vec<(&Samples, u32)> {
         match length {
             Length::Plain { route } => {
@@ -205,14 +205,14 @@
         }
     }
 
-    /// The windows that still count.
+    /// Windows that have not expired.
     fn current_windows(&self, now: Instant) -> impl Iterator<Item = &Window> {
         let oldest = WINDOW * WINDOWS as u32;
         let age = move |w: &Window| now.saturating_duration_since(w.since);
         self.windows.iter().filter(move |w| age(w) < oldest)
     }
 
-    /// For how long they were watched.
+    /// Time since the start of the oldest window.
     fn observed_for(&self, now: Instant) -> Duration {
         let oldest = self.current_windows(now).last();
         oldest.map_or(Duration::ZERO, |w| now.saturating_duration_since(w.since))
@@ -222,7 +222,7 @@
         self.current_windows(now).map(|w| w.count).sum()
     }
 
-    /// The slowest of the latest answers and of those that still run.
+    /// Slowest of the recent answers and of those that are still running.
     fn slowest(&self, now: Instant) -> Duration {
         let running = self.running.iter();
         let running = running.map(|since| now.saturating_duration_since(*since));
@@ -232,7 +232,7 @@
 }
 
 impl Length {
-    /// What is taken for granted of it while too little is known.
+    /// Bound that is used while there are too few samples.
     fn default_duration(self) -> Duration {
         match self {
             Self::Plain { .. } => DEFAULT_PLAIN,
@@ -243,21 +243,21 @@
     }
 }
 
-/// How many times longer than the slowest answer the next may take, where they were watched for
-/// a time.
+/// Factor by which the slowest answer is multiplied, for samples observed over the given time.
 fn margin_factor(observed_for: Duration) -> f64 {
     1.0 + MARGIN + MIN_OBSERVED.as_secs_f64() / observed_for.max(MIN_OBSERVED).as_secs_f64()
 }
 
-/// Class of an engine's answer: those of one class differ in their expected length by less
-/// than a factor of two.
+/// Length class of an engine's answer. Expected lengths within a class differ by less than a
+/// factor of two.
 fn class(tokens: u32) -> usize {
     let bits = u32::BITS - tokens.max(1).leading_zeros();
     bits.min(MAX_LENGTH_BITS) as usize - 1
 }
 
-/// A class and those that tell something of it, from the nearest on: each is twice as long
-/// as the one before, and longer answers take no less.
+/// Classes whose answers apply to a class, most similar first. A class doubles the lengths of the
+/// one before it, so durations of shorter classes are scaled up; those of longer classes are
+/// upper bounds as they are.
 fn similar_classes(wanted: usize) -> Vec<SimilarClass> {
     let mut all = vec![SimilarClass {
         class: wanted,
--- a/crates/gateway/src/fleet/durations/snapshot.rs
+++ b/crates/gateway/src/fleet/durations/snapshot.rs
@@ -1,22 +1,21 @@
-//! What a process takes from others of how long answers take: when it has just started, and
-//! when it stops.
+//! Exchanges durations of answers between processes, when one starts or stops.
 //!
-//! One that has just started has seen seconds of them, others up to five minutes; and each has
-//! seen its own share only. What a stopping process would take on by its own few answers
-//! alone was cut off now and then.
+//! A newly started process has observed answers for seconds only, others for up to five minutes,
+//! and each observes only its own share. A stopping process that relied on its own few answers
+//! occasionally accepted requests that were cut off.
 
 use super::{Durations, Samples, WINDOW, WINDOWS, Window};
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// How long answers of one service take, as one process has seen it.
+/// Durations of the answers of one service, as observed by one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurationSnapshot {
     /// Name of the service.
     pub service: String,
-    /// Engines' answers, the shortest class first.
+    /// Answers of engines, shortest class first.
     pub classes: Vec<Vec<WindowSnapshot>>,
-    /// Others.
+    /// Answers of plain services.
     pub routes: Vec<RouteSnapshot>,
 }
 
@@ -25,23 +24,23 @@
 pub struct RouteSnapshot {
     /// Hash of the route's name.
     pub route: u64,
-    /// Its answers.
+    /// Windows of its answers.
     pub windows: Vec<WindowSnapshot>,
 }
 
-/// Answers that ended in a span of time.
+/// Answers that ended within one time window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowSnapshot {
-    /// How long ago the span began, in milliseconds.
+    /// Time since the start of the window, in milliseconds.
     pub age_ms: u32,
-    /// How many answers.
+    /// Number of answers.
     pub count: u32,
-    /// The slowest, in milliseconds.
+    /// Duration of the slowest answer, in milliseconds.
     pub slowest_ms: u32,
 }
 
 impl Durations {
-    /// What others may take of it; none if no answer was seen.
+    /// Returns the observed durations for other processes; `None` if there are none.
     pub fn snapshot(&self, service: &str, now: Instant) -> Option<DurationSnapshot> {
         let routes = self.routes.iter().map(|route| RouteSnapshot {
             route: route.route,
@@ -63,7 +62,7 @@
             .then_some(snapshot)
     }
 
-    /// Takes what another has seen beside its own.
+    /// Merges durations that another process observed.
     pub fn merge(&mut self, snapshot: &DurationSnapshot, now: Instant) {
         let classes = snapshot.classes.iter().take(super::CLASSES);
         for (class, windows) in classes.enumerate() {
@@ -89,8 +88,8 @@
         windows.collect()
     }
 
-    /// Adds windows, as many as one process keeps. Those of about the same time as one of its
-    /// own become one with it, so that what is taken again changes nothing.
+    /// Merges windows, up to the number that a process keeps. A window that starts at about the
+    /// same time as an existing one is combined with it, so that repeated merges have no effect.
     fn merge(&mut self, windows: &[WindowSnapshot], now: Instant) {
         for window in windows.iter().take(WINDOWS) {
             let since = ago(now, window.age_ms);
@@ -123,7 +122,7 @@
     u32::try_from(d.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// A time so long ago; now, if this host's clock began later.
+/// Returns the time `ms` milliseconds ago, or now if this host's clock started later.
 fn ago(now: Instant, ms: u32) -> Instant {
     now.checked_sub(Duration::from_millis(ms.into()))
         .unwrap_or(now)
--- a/crates/gateway/src/fleet/latency.rs
+++ b/crates/gateway/src/fleet/latency.rs
@@ -1,68 +1,67 @@
-//! How long engines take to the first byte, learned from first bytes.
+//! Predicts engines' time to the first byte by an online linear regression.
 //!
-//! The time is taken as linear in what an engine has to do until then: a fixed
-//! part, which prompts spend side by side; a part for each prompt, and one for
-//! each uncached token, which they spend one after the other; and a part for each
-//! turn of its slots, if all are taken. Old samples fade, and start values stand
-//! in until there are some.
-
-/// How much of the old samples is left after each new one: some 300 samples
-/// count, a few seconds at a busy process.
+//! The model has a fixed part, which concurrent prompts spend in parallel; a part for each queued
+//! prompt and for each uncached token, which are processed in sequence; and a part for each
+//! turnover of the engine's slots if all are taken. Old samples decay, and prior coefficients are
+//! used until there are samples.
+
+/// Weight of the old samples after each new one. About 300 samples count, a few seconds' worth at
+/// a busy process.
 const DECAY: f64 = 0.997;
-/// Weight of the start values, in samples. They never fade, so that a quiet hour
-/// doesn't leave the line undetermined.
+/// Weight of the prior coefficients, in samples. It doesn't decay, so that the model stays
+/// determined when there are few requests.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Bounds of the time for each prompt, in milliseconds.
+/// Range of the time per prompt, in milliseconds.
 const PER_PROMPT_RANGE_MS: (f64, f64) = (0.0, 50.0);
-/// Bounds of the time for each token: 5 to 5,000 tokens a millisecond.
+/// Range of the time per token: 5 to 5,000 tokens per millisecond.
 const PER_TOKEN_RANGE_MS: (f64, f64) = (0.0002, 0.2);
-/// Bounds of the time for each turn of the slots, in milliseconds.
+/// Range of the time per slot turnover, in milliseconds.
 const PER_TURNOVER_RANGE_MS: (f64, f64) = (0.0, 200.0);
-/// Weight of the newest sample in an upstream's own slowdown.
+/// Weight of the newest sample in an upstream's slowdown.
 const SLOWDOWN_SMOOTHING: f64 = 0.1;
-/// Bounds of the slowdown: one sample must not close an upstream, and a fast
-/// one gets no more than its queue allows.
+/// Range of the slowdown. A single sample must not exclude an upstream, and a fast upstream must
+/// not get more requests than its queue allows.
 const SLOWDOWN_RANGE: (f64, f64) = (0.7, 12.0);
 
-/// What an engine is given to do with a request.
+/// Task that an engine has to perform for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Task {
-    /// Read the prompt and generate the answer.
+    /// Prefill the prompt and generate the answer.
     Generate,
-    /// Read the prompt only; another engine generates.
+    /// Prefill the prompt only; another engine generates the answer.
     Prefill,
-    /// Generate the answer from the KV cache that another engine holds.
+    /// Generate the answer from a KV cache on another engine.
     Decode,
 }
 
-/// What an engine has to do until a first byte.
+/// Work of an engine that precedes a first byte.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Backlog {
-    /// Prompts ahead.
+    /// Number of queued prompts.
     pub prompts: f64,
-    /// Uncached tokens, those of the prompts ahead included.
+    /// Uncached tokens, including those of the queued prompts.
     pub tokens: f64,
-    /// How often the slots that no long answer holds change hands until one is
-    /// free; 0 if one is free now.
+    /// How many times the slots without long answers have to become free until one is available;
+    /// 0 if one is free now.
     pub slot_turnovers: f64,
 }
 
-/// Unknowns of the line.
+/// Number of coefficients.
 const TERMS: usize = 4;
 type Vector = [f64; TERMS];
 
-/// Time to the first byte over the work until then.
+/// Linear model of the time to the first byte as a function of the backlog.
 #[derive(Debug, Clone, Copy)]
 pub struct LatencyModel {
     prior: Coefficients,
-    /// Sums of products of the samples: of (1, prompts, tokens, turns) with each
-    /// other, and with the times.
+    /// Decayed sums over the samples for the normal equations: products of the features (1,
+    /// prompts, tokens, slot turnovers) with each other, and with the deviations from the prior.
     gram: [Vector; TERMS],
     moments: Vector,
     fitted: Coefficients,
 }
 
-/// The time's parts, in milliseconds.
+/// Coefficients of the model, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Coefficients {
     fixed: f64,
@@ -79,10 +78,10 @@
 }
 
 impl LatencyModel {
-    /// The start values for a task. Engines that only read are taken to read 150
-    /// tokens a ms, by the geometric mean of the slowest and the fastest that the
-    /// users have (37 and 940), others half of it. With 600, the first second
-    /// sent slow engines a queue of 2 s. A KV cache takes some 4 ms to fetch.
+    /// Model with the prior coefficients for a task. Prefill-only engines are assumed to prefill
+    /// 150 tokens per ms, about the geometric mean of the slowest and the fastest engines in use
+    /// (37 and 940), others half of that. With 600, slow engines built up a queue of 2 s within
+    /// the first second. Fetching a KV cache takes about 4 ms.
     pub fn for_task(task: Task) -> Self {
         let (fixed, per_token) = match task {
             Task::Generate => (10.0, 1.0 / 75.0),
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Notes a first byte that came after so much work.
+    /// Adds the measured time of a first byte.
     pub fn add_sample(&mut self, backlog: Backlog, ms: f64) {
         let x = features(backlog);
         for (row, x_row) in self.gram.iter_mut().zip(x) {
@@ -114,7 +113,7 @@
                 *sum = *sum * DECAY + x_row * x;
             }
         }
-        // What counts is how far the samples are from the start values.
+        // The model is fitted to the deviations from the prior.
         let deviation = ms - self.prior.evaluate(backlog);
         for (sum, x) in self.moments.iter_mut().zip(x) {
             *sum = *sum * DECAY + x * deviation;
@@ -122,12 +121,12 @@
         self.fitted = self.fit();
     }
 
-    /// Estimated time to a first byte after so much work, in milliseconds.
+    /// Estimated time to the first byte, in milliseconds.
     pub fn estimate(&self, backlog: Backlog) -> f64 {
         self.fitted.evaluate(backlog)
     }
 
-    /// Least squares, drawn towards the start values by their weight.
+    /// Least-squares fit, regularized towards the prior.
     fn fit(&self) -> Coefficients {
         let mut rows = self.gram;
         for (at, row) in rows.iter_mut().enumerate() {
@@ -149,7 +148,7 @@
     }
 }
 
-/// Tokens are counted in thousands for the fit, so that all weights are alike.
+/// Tokens are counted in thousands for the fit, so that the features have similar magnitudes.
 const TOKEN_SCALE: f64 = 1000.0;
 
 fn features(backlog: Backlog) -> Vector {
@@ -161,8 +160,8 @@
     ]
 }
 
-/// Solves linear equations by Gaussian elimination; none if they are dependent.
-/// The rows are symmetric and positive, so no pivots are swapped.
+/// Solves linear equations by Gaussian elimination; `None` if they are dependent. The matrix is
+/// symmetric and positive, so no pivoting is needed.
 fn solve(mut rows: [Vector; TERMS], mut y: Vector) -> Option<Vector> {
     for at in 0..TERMS {
         let pivot = rows[at];
@@ -185,22 +184,22 @@
     Some(solution)
 }
 
-/// How much slower one upstream is than its kind: the geometric mean of its last
-/// first bytes over their estimates. The arithmetic mean would follow a few
-/// prompts that waited long at a sound upstream.
+/// Slowdown of one upstream relative to its service's model: the geometric mean of recent
+/// measured times divided by the estimates. An arithmetic mean would be dominated by a few
+/// prompts that waited long at a healthy upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Slowdown {
     log_mean: f64,
 }
 
 impl Slowdown {
-    /// Notes a first byte against what was estimated for its kind.
+    /// Adds a measured time and the estimate for it.
     pub fn add_sample(&mut self, ms: f64, estimate: f64) {
         let ratio = (ms / estimate.max(1.0)).clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
         self.log_mean += (ratio.ln() - self.log_mean) * SLOWDOWN_SMOOTHING;
     }
 
-    /// By how much its estimates are multiplied.
+    /// Factor by which the upstream's estimates are multiplied.
     pub fn factor(&self) -> f64 {
         self.log_mean.exp()
     }
--- a/crates/gateway/src/fleet/merge.rs
+++ b/crates/gateway/src/fleet/merge.rs
@@ -1,41 +1,40 @@
-//! Takes what the registry says of upstreams.
+//! Applies registry entries to the fleet.
 //!
-//! Of two rows of an id the store's version says which is newer, never the start: an
-//! upstream's clock may jump back between two starts.
+//! The newer of two rows with the same id is determined by the store's version and not by the
+//! start, as an upstream's clock may jump back between two starts.
 
 use super::{ArenaSlot, CONNECT_TIMEOUT, Fleet, Upstream, UpstreamKey, id_hash};
 use net::{Meter, Pool};
 use platform::{Instance, Start};
 
-/// What the registry changed.
+/// Effect of a registry entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// An upstream is new, and may get requests.
+    /// A new upstream, which can receive requests.
     Added(UpstreamKey),
-    /// An upstream has started again under its id; all that was known of the start before
-    /// is dropped.
+    /// The upstream has restarted under its id. The state of the earlier start was dropped.
     Restarted {
-        /// The new start.
+        /// Key of the new start.
         key: UpstreamKey,
-        /// The one before, if it was known.
+        /// The earlier start, if known.
         before: Option<Start>,
     },
-    /// An upstream that was known says that it will stop.
+    /// The upstream will stop.
     Draining(UpstreamKey),
-    /// An engine that was known does something else with prompts.
+    /// The engine has changed its stage.
     StageChanged(UpstreamKey),
-    /// Something else changed.
+    /// Other fields changed.
     Changed,
     /// Nothing changed.
     Unchanged,
-    /// The row is of a start that was replaced by another, and changes nothing.
+    /// The row belongs to a start that was replaced, and is ignored.
     StaleStart,
-    /// The row tells no start, though others of its id did: it names no upstream.
+    /// The row has no start although earlier rows of its id had one, and is ignored.
     MissingStart,
 }
 
 impl Fleet {
-    /// Takes an upstream's entry from the registry.
+    /// Applies an upstream's registry entry.
     pub fn merge(&mut self, instance: Instance, meter: &Meter) -> MergeOutcome {
         let id = id_hash(&instance.id);
         let known = self.key_of(id);
@@ -60,9 +59,9 @@
         MergeOutcome::Restarted { key, before }
     }
 
-    /// Whether a row isn't newer than what is known of its id. That its start drains
-    /// counts from whichever row: none calls it back within one start, so all processes
-    /// come to the same, in whatever order they read.
+    /// Whether a row is not newer than the known one. A row that says that the known start is
+    /// draining always counts: draining is never revoked within a start, so all processes reach
+    /// the same state in whatever order they read.
     fn is_known_newer(&self, key: UpstreamKey, row: &Instance) -> bool {
         let Some(Upstream { instance, .. }) = self.get(key) else {
             return false;
@@ -72,7 +71,7 @@
         row.row <= instance.row && !tells_draining
     }
 
-    /// Takes a row of the start that is known.
+    /// Applies a row of the start that is known.
     fn update(&mut self, key: UpstreamKey, instance: Instance, meter: &Meter) -> MergeOutcome {
         let service = self.intern_service(&instance.service);
         let Some(known) = self.get_mut(key) else {
@@ -87,7 +86,7 @@
             return MergeOutcome::Draining(key);
         }
         let instance = Instance {
-            // A registration that arrives late must not call a leaving one back.
+            // A late registration must not revoke draining.
             is_draining: instance.is_draining || known.instance.is_draining,
             ..instance
         };
@@ -140,13 +139,13 @@
         key
     }
 
-    /// Forgets an upstream that is gone from the registry.
+    /// Removes an upstream that is no longer in the registry.
     pub fn remove(&mut self, key: UpstreamKey) -> Option<Upstream> {
         let hash = self.get(key)?.hash;
         if let Ok(at) = self.by_hash.binary_search_by_key(&hash, |(h, _)| *h) {
             self.by_hash.remove(at);
         }
-        // Two upstreams may have one tag, so the key decides.
+        // Two upstreams may share a tag, so entries are compared by key.
         self.by_tag.retain(|(_, tagged)| *tagged != key);
         self.free_slots.push(key.index);
         let removed = self.arena[key.index as usize].upstream.take()?;
@@ -156,14 +155,14 @@
     }
 }
 
-/// Whether two rows of a start say the same.
+/// Whether two rows are equal apart from the row version.
 fn is_equal_except_row(a: &Instance, b: &Instance) -> bool {
     let row = a.row;
     *a == Instance { row, ..b.clone() }
 }
 
-/// Hash of what the registry says of an upstream, as far as requests depend on it. The
-/// row's version is none of it: it rises with each heartbeat, which peers aren't told.
+/// Hash of the fields of a registry entry that matter for requests. The row version is excluded:
+/// it changes with each heartbeat, about which peers are not notified.
 fn instance_hash(instance: &Instance) -> u64 {
     let Instance {
         id, service, addr, ..
--- a/crates/gateway/src/fleet/placements.rs
+++ b/crates/gateway/src/fleet/placements.rs
@@ -1,16 +1,16 @@
-//! Which prompt parts engines were sent, by this process and by its peers.
+//! Tracks which prompt parts were sent to which engines, by this process and its peers.
 
 use super::{Fleet, Upstream, UpstreamKey};
 use crate::peers::Placement;
 use platform::PromptPart;
 use std::time::{Duration, Instant};
 
-/// Most placements that one datagram tells of.
+/// Maximum number of placements in one datagram.
 const MAX_PLACEMENTS_PER_DATAGRAM: usize = 64;
 
 impl Fleet {
-    /// Tokens of a prompt that an engine has to read. An engine that has run since
-    /// before this process is taken to hold the shared parts whose home it is.
+    /// Number of prompt tokens that an engine has to prefill. An engine that is older than this
+    /// process is assumed to have cached the shared parts of which it is the home.
     pub fn uncached(&self, upstream: &Upstream, parts: &[PromptPart], is_home: bool) -> u32 {
         let Some((own, shared)) = parts.split_last() else {
             return 0;
@@ -21,7 +21,7 @@
         own.tokens + upstream.cache.missing_tokens(shared)
     }
 
-    /// Notes that a prompt is sent to an engine to be read.
+    /// Records that a prompt is sent to an engine for prefill.
     pub fn record_parts(&mut self, key: UpstreamKey, parts: &[PromptPart], now: Instant) {
         let Some((_, shared)) = parts.split_last() else {
             return;
@@ -46,8 +46,8 @@
         self.placements.extend(new.into_iter().map(|p| (now, p)));
     }
 
-    /// Takes a peer's word of parts that were sent somewhere. Those that are new here
-    /// are told on, if the peer didn't tell all processes itself.
+    /// Merges placements that a peer reported. With `forward`, those that are new here are
+    /// reported on to other processes, as the peer did not send them to all.
     pub fn merge_placements(&mut self, placements: &[Placement], forward: bool, now: Instant) {
         for placement in placements {
             if self.merge_placement(placement, now) && forward {
@@ -71,7 +71,7 @@
         upstream.is_some_and(|u| u.cache.record(part, memory, now))
     }
 
-    /// Parts that this process has first sent somewhere within a time.
+    /// Placements that were added within the given time, newest first.
     pub fn recent_placements(&mut self, within: Duration, now: Instant) -> Vec<Placement> {
         while let Some((at, _)) = self.placements.front() {
             if now.saturating_duration_since(*at) <= within {
@@ -87,7 +87,7 @@
         newest.map(|(_, p)| *p).collect()
     }
 
-    /// Tokens that an engine's memory holds; none if it isn't an engine.
+    /// Cache size of an engine in tokens; `None` if the upstream is not an engine.
     fn cache_capacity(&self, key: UpstreamKey) -> Option<u32> {
         let service = self.get(key)?.service;
         self.info(service).engine.map(|e| e.cache_tokens)
--- a/crates/gateway/src/fleet/starts.rs
+++ b/crates/gateway/src/fleet/starts.rs
@@ -1,32 +1,32 @@
-//! Which starts of upstreams were replaced by another.
+//! Remembers which starts of upstreams were replaced by later ones.
 //!
-//! A heartbeat of an earlier start may reach the store after the first one of the next,
-//! and has the newer row then. It mustn't bring the earlier start back.
+//! A heartbeat of an earlier start may reach the store after the first one of the next start, so
+//! its row is newer. It must not bring the earlier start back.
 
 use platform::Start;
 use std::collections::VecDeque;
 
-/// Replaced starts that are remembered of an id: an upstream that starts again each few
-/// seconds has its late heartbeats from the last one or two.
+/// Maximum number of replaced starts per id. Even an upstream that restarts every few seconds has
+/// late heartbeats only of the last one or two.
 const MAX_REPLACED: usize = 8;
-/// Ids of which starts are remembered, at some 100 bytes each: more than the 3,000
-/// upstreams of the largest fleet. The one that began to be known first yields.
+/// Maximum number of ids, at about 100 bytes each; the largest fleet has 3,000 upstreams. The id
+/// whose start changed least recently is evicted.
 const MAX_IDS: usize = 4096;
 
-/// The starts of one id.
+/// Starts of one id.
 #[derive(Debug)]
 struct IdStarts {
     /// Hash of the id.
     id: u64,
-    /// The last start that was taken.
+    /// Current start.
     last: Start,
-    /// Those before it, oldest first.
+    /// Earlier starts, oldest first.
     replaced: VecDeque<Start>,
-    /// Number of the change that brought the last start.
+    /// Sequence number of the change to the current start.
     change: u64,
 }
 
-/// The starts of all ids that told any.
+/// Starts of all ids whose rows contain one.
 #[derive(Debug, Default)]
 pub(super) struct StartHistory {
     /// Sorted by id.
@@ -40,17 +40,17 @@
         at.ok().map(|at| &self.all[at])
     }
 
-    /// Whether a start of an id was replaced by another.
+    /// Whether a start was replaced by a later one.
     pub(super) fn is_replaced(&self, id: u64, start: Start) -> bool {
         self.get(id).is_some_and(|k| k.replaced.contains(&start))
     }
 
-    /// Whether any start of an id was told.
+    /// Whether any start of an id is known.
     pub(super) fn is_known(&self, id: u64) -> bool {
         self.get(id).is_some()
     }
 
-    /// Notes the start of an id that is in use now.
+    /// Records the current start of an id.
     pub(super) fn record(&mut self, id: u64, start: Start) {
         self.changes += 1;
         let change = self.changes;
--- a/crates/gateway/src/fleet/upstream.rs
+++ b/crates/gateway/src/fleet/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream, as this process believes it to be.
+//! State of one upstream, as known to this process.
 
 use super::cache::CacheEstimate;
 use super::latency::{Backlog, Slowdown};
@@ -9,85 +9,86 @@
 use resilience::Health;
 use std::time::{Duration, Instant};
 
-/// How long after this process has read an engine's new stage its peers have read
-/// it too: they hear of a new version at once, and ask each 0.2 s.
+/// Time after which peers have also read an engine's new stage: they are notified of a new
+/// registry version at once, and poll every 0.2 s.
 const REGISTRY_PROPAGATION: Duration = Duration::from_millis(500);
 
-/// Time without an answer after which an upstream where requests wait may be cut off.
+/// Time without an answer after which an upstream with waiting requests may be unreachable.
 const SILENT_AFTER: Duration = Duration::from_secs(1);
 
-/// One start of an upstream.
+/// State of one start of an upstream.
 #[derive(Debug)]
 pub struct Upstream {
-    /// As it registered itself.
+    /// Registry entry.
     pub instance: Instance,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceKey,
-    /// Connections to it.
+    /// Connection pool.
     pub pool: Pool,
-    /// Hash of its id alone, for the choice of homes: an upstream that starts again
-    /// keeps its homes, so that no other engine's prompts move.
+    /// Hash of the id without the start, for the choice of homes. An upstream keeps its homes
+    /// across restarts, so that prompts of other engines don't move.
     pub hash: u64,
-    /// Tag of its start.
+    /// Tag of the start.
     tag: u32,
-    /// Requests of this process that run there.
+    /// Running requests of this process.
     pub running: u32,
-    /// Of these, those whose first byte hasn't come yet.
+    /// Running requests of this process without a first byte.
     pub waiting: u32,
-    /// Uncached tokens of those that wait.
+    /// Uncached tokens of the waiting requests.
     pub tokens: u32,
-    /// The same for all other processes of the system, as they last said.
+    /// Load from all other processes of the system, as last reported.
     pub peer_load: PeerLoad,
-    /// Of the running requests, those that stream long answers.
+    /// Long answers that are streamed to clients of this process.
     pub streams: u32,
-    /// When the latest request was sent that it has answered: it lived then.
+    /// Time at which the latest request that was answered was sent, and so the upstream was
+    /// alive.
     pub alive_at: Option<Instant>,
-    /// What came of the last requests.
+    /// Health, based on recent requests.
     pub health: Health,
-    /// How much slower it is than its kind.
+    /// Slowdown relative to the service's model.
     pub slowdown: Slowdown,
-    /// Until when it is taken to be away for a change of its stage, and the stage
-    /// that it was ordered to have, if this process ordered it.
+    /// Stage change in progress.
     change: Option<StageChange>,
-    /// When this process last read a new stage of it.
+    /// Time at which this process last read a new stage of the engine.
     stage_changed_at: Option<Instant>,
-    /// Prompt parts that it is taken to hold.
+    /// Prompt parts that are assumed to be cached.
     pub(super) cache: CacheEstimate,
-    /// Whether this process has known it since it was empty.
+    /// Whether the cache was empty when this process began to track it.
     pub(super) is_cache_known: bool,
 }
 
-/// A change of an engine's stage that is going on.
+/// A stage change in progress: the time until which the engine is unavailable, and the new stage
+/// if this process ordered the change.
 #[derive(Debug, Clone, Copy)]
 struct StageChange {
     until: Instant,
     ordered: Option<Stage>,
 }
 
-/// Load at an upstream that comes from other processes of the system, summed.
+/// Total load of an upstream from other processes of the system.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerLoad {
-    /// Requests whose first byte hasn't come yet.
+    /// Requests without a first byte.
     pub waiting: u32,
-    /// Uncached tokens of those that wait.
+    /// Uncached tokens of the waiting requests.
     pub tokens: u32,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Of these, long answers that are being streamed.
+    /// Long answers that are being streamed.
     pub streams: u32,
 }
 
 impl PeerLoad {
-    /// Adds what a process says of its load.
+    /// Adds the load that a process reported.
     pub fn add(&mut self, load: &Load) {
-        // A peer may say anything.
+        // Saturates, as a peer may send any value.
         self.waiting = self.waiting.saturating_add(u32::from(load.waiting));
         self.tokens = self.tokens.saturating_add(load.tokens);
         self.running = self.running.saturating_add(u32::from(load.running));
         self.streams = self.streams.saturating_add(u32::from(load.streams));
     }
 
-    /// Takes off what the process said before.
+    /// Subtracts the load that a process reported before.
     pub fn subtract(&mut self, load: &Load) {
         self.waiting = self.waiting.saturating_sub(u32::from(load.waiting));
         self.tokens = self.tokens.saturating_sub(load.tokens);
@@ -97,8 +98,8 @@
 }
 
 impl Upstream {
-    /// An upstream that the registry tells of. `is_known_from_start` says that it has
-    /// just started.
+    /// Creates the state for a registry entry. `is_cache_known` is true if the upstream has just
+    /// started with an empty cache.
     pub(super) fn new(
         service: ServiceKey,
         instance: Instance,
@@ -126,41 +127,41 @@
         }
     }
 
-    /// Notes that this process orders it to change its stage: it gets no request
-    /// until a time, unless the registry shows the new stage before.
+    /// Records that this process orders a stage change. The engine gets no requests until the
+    /// given time or until the registry shows the new stage.
     pub fn set_changing(&mut self, until: Instant, stage: Stage) {
         let ordered = Some(stage);
         self.change = Some(StageChange { until, ordered });
     }
 
-    /// Notes that it doesn't change its stage after all.
+    /// Records that the stage change is cancelled.
     pub fn clear_changing(&mut self) {
         self.change = None;
     }
 
-    /// For how much longer it is away for a change of its stage; none if it isn't.
+    /// Remaining time for which the engine is unavailable because of a stage change.
     pub fn change_remaining(&self, now: Instant) -> Option<Duration> {
         let change = self.change.filter(|c| now < c.until)?;
         Some(change.until - now)
     }
 
-    /// By what processes tell of this start of it.
+    /// Tag of the start, which identifies it between processes.
     pub fn tag(&self) -> u32 {
         self.tag
     }
 
-    /// Whether it may get new requests, its health aside.
+    /// Whether it can receive new requests, regardless of its health.
     pub fn is_open(&self) -> bool {
         !self.instance.is_draining
     }
 
-    /// Whether it is away for a change of its stage.
+    /// Whether it is unavailable because of a stage change.
     pub fn is_changing(&self, now: Instant) -> bool {
         self.change_remaining(now).is_some()
     }
 
-    /// Takes a peer's word that it is away until a time. Just after its new stage was
-    /// read, peers that haven't read it yet still say so.
+    /// Records a peer's report that the engine is unavailable until the given time. Reports are
+    /// ignored just after the new stage was read, as peers may not have read it yet.
     pub fn set_changing_by_peer(&mut self, until: Instant, now: Instant) {
         let is_over = self
             .stage_changed_at
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Takes the stage that the registry shows. An ordered change is over, but for
-    /// the time in which the others read the registry.
+    /// Applies a new stage from the registry. An ordered change then ends as soon as the other
+    /// processes have read the registry too.
     pub(super) fn handle_stage_change(&mut self, stage: Option<Stage>) {
         let now = Instant::now();
         self.stage_changed_at = Some(now);
@@ -189,22 +190,22 @@
         }
     }
 
-    /// Whether it only reads prompts.
+    /// Whether it is an engine that only prefills prompts.
     pub fn is_prefill_only(&self) -> bool {
         self.instance.stage == Some(Stage::Prefill)
     }
 
-    /// Requests that wait there for their first byte, of all processes.
+    /// Requests of all processes that wait for their first byte.
     pub fn all_waiting(&self) -> u32 {
         self.waiting.saturating_add(self.peer_load.waiting)
     }
 
-    /// Uncached tokens that wait there, of all processes.
+    /// Uncached tokens of the waiting requests of all processes.
     pub fn all_waiting_tokens(&self) -> u32 {
         self.tokens.saturating_add(self.peer_load.tokens)
     }
 
-    /// What it has to do until the first byte of a prompt that is sent now.
+    /// Backlog that precedes the first byte of a prompt sent now.
     pub fn backlog(&self, uncached: u32) -> Backlog {
         let tokens = self.all_waiting_tokens().saturating_add(uncached);
         Backlog {
@@ -214,13 +215,12 @@
         }
     }
 
-    /// How often the slots that long answers leave change hands until one is free
-    /// for a request that is sent now. Engines that only read prompts hold no slot
-    /// after that, so the prompts ahead say it all.
+    /// How many times the slots without long answers have to become free until one is available
+    /// for a request sent now. Prefill-only engines hold no slot after the prefill, so their
+    /// queued prompts are sufficient.
     ///
-    /// On a loaded day the work that waits explains 0.22 of the variance of first
-    /// bytes at generating engines, with the turns 0.39; estimates with them earn
-    /// 0.003 to 0.02 more of what is owed (one run a site).
+    /// Under load, the waiting work explains 0.22 of the variance of the time to the first byte
+    /// at generating engines, and 0.39 together with the slot turnovers.
     fn slot_turnovers(&self) -> f64 {
         if self.is_prefill_only() {
             return 0.0;
@@ -231,24 +231,23 @@
         f64::from(excess) / f64::from(available)
     }
 
-    /// Whether requests of this process wait there, and none that was sent lately was
-    /// answered.
+    /// Whether requests of this process wait and none of those sent recently was answered.
     pub fn is_silent(&self, now: Instant) -> bool {
         let is_long_ago = |at: Instant| now.saturating_duration_since(at) >= SILENT_AFTER;
         self.waiting > 0 && self.alive_at.is_none_or(is_long_ago)
     }
 
-    /// Requests that run there, of all processes.
+    /// Running requests of all processes.
     pub fn all_running(&self) -> u32 {
         self.running.saturating_add(self.peer_load.running)
     }
 
-    /// Long answers that are streamed there, to clients of all processes.
+    /// Long answers that are streamed to clients of all processes.
     pub fn all_streams(&self) -> u32 {
         self.streams.saturating_add(self.peer_load.streams)
     }
 
-    /// What this process says of its load there; none if there is none.
+    /// This process's load on the upstream for its peers; `None` if there is none.
     pub fn load(&self) -> Option<Load> {
         (self.running > 0).then(|| Load {
             upstream: self.tag(),
@@ -259,18 +258,18 @@
         })
     }
 
-    /// What the upstream is called in logs when it does something with prompts.
+    /// Name of the engine's stage in logs; `None` for a plain service.
     pub fn stage_name(&self) -> Option<&'static str> {
         self.instance.stage.map(Stage::name)
     }
 
-    /// Whether its last requests failed so often that it gets none for a while.
+    /// Whether it gets no requests for a while because recent ones failed.
     pub fn is_suspended(&self, now: Instant) -> bool {
         self.health.is_suspended(now)
     }
 }
 
-/// A count as it is told to peers; none of ours comes near the bound.
+/// Converts a count for peers; the saturation is never reached in practice.
 fn saturate_u16(count: u32) -> u16 {
     u16::try_from(count).unwrap_or(u16::MAX)
 }
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -1,32 +1,32 @@
-//! Which upstreams the registry has changed lately, by its version.
+//! Recent registry changes by version, for incremental updates of peers.
 //!
-//! A peer that is a few versions behind gets these alone. A whole registry of 3,000
-//! upstreams is 270 KB, and 190 processes that each fetched it from one host on every
-//! change filled that host's link of 20 Mbit/s for half a minute.
+//! A peer that is a few versions behind gets only the upstreams that changed. The whole registry
+//! of 3,000 upstreams has 270 KB; when 190 processes fetched it from one host on every change,
+//! that host's link of 20 Mbit/s was saturated for half a minute.
 
 use std::collections::VecDeque;
 
-/// Most changes that are kept: some minutes of the users' busiest hour, at 30 bytes
-/// each. A peer that is further behind gets the whole registry.
+/// Maximum number of changes, at 30 bytes each: a few minutes at peak load. A peer that is
+/// further behind gets the whole registry.
 const MAX_CHANGES: usize = 4096;
 
-/// The latest changes, oldest first.
+/// Most recent changes of the registry, oldest first.
 #[derive(Debug, Default)]
 pub struct ChangeHistory {
-    /// Version up to which changes are no longer kept.
+    /// Latest version whose changes are no longer stored.
     from: u64,
-    /// Versions and the ids of upstreams that changed by them.
+    /// Versions, and ids of the upstreams that they changed.
     changes: VecDeque<(u64, String)>,
 }
 
 impl ChangeHistory {
-    /// Starts anew at a version: what changed before it isn't known.
+    /// Clears the history. Changes up to `version` are unknown.
     pub fn reset(&mut self, version: u64) {
         self.from = version;
         self.changes.clear();
     }
 
-    /// Notes that a version changed an upstream. Versions never go back.
+    /// Records that a version changed an upstream. Versions must not decrease.
     pub fn record(&mut self, version: u64, id: &str) {
         self.changes.push_back((version, id.to_owned()));
         while self.changes.len() > MAX_CHANGES {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Ids of the upstreams that changed after a version, each once, sorted; none if
-    /// that isn't known.
+    /// Ids of the upstreams that changed after a version, sorted and without duplicates; `None`
+    /// if these changes are no longer stored.
     pub fn changed_since(&self, version: u64) -> Option<Vec<&str>> {
         if version < self.from {
             return None;
--- a/crates/gateway/src/missing.rs
+++ b/crates/gateway/src/missing.rs
@@ -1,19 +1,18 @@
-//! Upstreams whose entries were found missing just after the store's return.
+//! Keeps upstreams whose registry entries are missing just after an outage of the store.
 //!
-//! Entries lapse while the store is away and are written again soon after its
-//! return, so an upstream isn't taken for gone at once. Until that is settled this
-//! process knows more upstreams than the version of its last read says, and tells
-//! its peers of no read.
+//! Entries expire while the store is unavailable and are rewritten soon after its return, so a
+//! missing upstream isn't removed at once. Until this is settled, the process knows more
+//! upstreams than the version of its last read contains, and reports no read to its peers.
 
 use std::time::{Duration, Instant};
 
-/// How long after the store's return an upstream whose entry lapsed meanwhile is
-/// still used: entries of live upstreams are back within about two seconds. It
-/// counts from the last read that failed, at most 0.8 s after the return, so that
-/// what is gone gets no request 3 s after it, when bounds count again.
+/// Time for which an upstream remains in use if its entry expired during the outage. Entries of
+/// live upstreams are rewritten within about two seconds. The time counts from the last failed
+/// read, at most 0.8 s after the store's return, so that stopped upstreams get no requests from 3
+/// s after it, when the usual bounds apply again.
 const RETURN_GRACE: Duration = Duration::from_millis(2000);
 
-/// Upstreams that are missing and may come back.
+/// Upstreams that are missing but may come back.
 #[derive(Debug, Default)]
 pub struct MissingUpstreams {
     until: Option<Instant>,
@@ -21,33 +20,32 @@
 }
 
 impl MissingUpstreams {
-    /// The store is back: entries may have lapsed meanwhile. Reads failed until
-    /// `last_bad`.
+    /// Starts the grace period after an outage; `last_bad` is the time of the last failed read.
     pub fn begin_grace_period(&mut self, last_bad: Instant) {
         self.until = Some(last_bad + RETURN_GRACE);
     }
 
-    /// When what is held back must have come back; none if nothing is.
+    /// End of the grace period; `None` if no upstream is missing.
     pub fn expires_at(&self) -> Option<Instant> {
         self.until.filter(|_| !self.ids.is_empty())
     }
 
-    /// Whether what is missing at a time may come back.
+    /// Whether a missing upstream is kept at the given time.
     pub fn is_in_grace_period(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Holds back an upstream that is missing.
+    /// Adds a missing upstream.
     pub fn add(&mut self, id: String) {
         self.ids.push(id);
     }
 
-    /// Notes that an upstream is there.
+    /// Removes an upstream whose entry was found.
     pub fn remove(&mut self, id: &str) {
         self.ids.retain(|missing| missing != id);
     }
 
-    /// Takes out the upstreams that haven't come back in time.
+    /// Takes the missing upstreams once the grace period is over.
     pub fn take_expired(&mut self, now: Instant) -> Vec<String> {
         if self.is_in_grace_period(now) {
             return Vec::new();
@@ -55,7 +53,7 @@
         std::mem::take(&mut self.ids)
     }
 
-    /// Whether any upstream is held back.
+    /// Whether no upstream is missing.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on to the client, and goes on elsewhere where that is allowed.
+//! Relays an answer to the client, and resumes a broken stream at another upstream if allowed.
 
 use crate::account::Account;
 use crate::answer::{Outcome, Reason};
@@ -17,13 +17,13 @@
 use platform::{RouteKind, header};
 use std::time::{Duration, Instant};
 
-/// Pieces of an answer that wait for a slow client before its upstream does.
+/// Chunks of an answer that are buffered for a slow client before reads from the upstream pause.
 const MAX_BUFFERED_CHUNKS: usize = 8;
-/// Time after its end in which a stream's bytes are still passed on: those that are on their
-/// way through this process, so that an answer that has just ended is delivered.
+/// Time after the deadline in which buffered bytes are still relayed, so that an answer that has
+/// just ended is delivered.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Answers the client with what an upstream answers.
+/// Responds to the client with an upstream's answer.
 pub fn relay_answer(call: Call, mut account: Account, started: StartedAnswer) -> Response<Body> {
     account.first_byte_after = Some(account.received_at.elapsed());
     account.status = started.status.as_u16();
@@ -63,21 +63,21 @@
     res
 }
 
-/// Moves a stream from its upstream to the client.
+/// Copies a stream from its upstream to the client.
 struct StreamRelay {
     call: Call,
     account: Account,
     tx: BodySender,
     load: LoadGuard,
-    /// What came of the upstream and waits to be sent.
+    /// Data from the upstream that has yet to be sent.
     unsent: Option<Bytes>,
-    /// How long that has waited for the client in all.
+    /// Total time spent waiting for the client.
     client_wait: Duration,
     _streamed: StreamedGuard,
-    /// Whether the answer's end shows: one that ends with its connection looks whole also
-    /// when its upstream has crashed.
+    /// Whether the framing marks the answer's end. An answer that ends with its connection looks
+    /// complete even if its upstream has crashed.
     is_framed: bool,
-    /// For streams that may go on elsewhere.
+    /// Present for streams that may be resumed.
     cutter: Option<EventCutter>,
 }
 
@@ -85,15 +85,15 @@
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// How a stream ended on one side.
+/// How the copying of a stream ended.
 enum StreamEnd {
-    /// The upstream ended it as whole.
+    /// The upstream completed the stream.
     Whole,
-    /// The upstream broke off.
+    /// The upstream broke off the stream.
     Broken(String),
-    /// The client has gone.
+    /// The client disconnected.
     ClientGone,
-    /// The route's timeout or the client's deadline is up, or the process ends.
+    /// The deadline or the timeout passed, or the process ends.
     TimedOut(Reason),
 }
 
@@ -103,7 +103,7 @@
         while let Some((first, rest)) = next.take() {
             let end = match rest {
                 Some(rest) => self.copy(first, rest).await,
-                // It broke off after its last event: nothing is left to come.
+                // The stream broke off after its last event, so nothing is missing.
                 None => StreamEnd::Whole,
             };
             match end {
@@ -129,12 +129,12 @@
                 StreamEnd::Broken(why) => next = self.resume(why).await,
             }
         }
-        // The sender is dropped without an end, so the client sees a broken answer.
+        // The sender is dropped without an end marker, so the client sees a broken answer.
         self.account
             .close(Outcome::BrokenOff, Some(Reason::UpstreamLost));
     }
 
-    /// Copies one upstream's bytes until they end or the time is up.
+    /// Copies the bytes of one upstream until they end or the time is up.
     async fn copy(&mut self, first: Option<Bytes>, mut rest: BodyRest) -> StreamEnd {
         let time_over = self.call.time_over(Answer::Begun);
         self.unsent = match first.map(|data| self.cut(data)) {
@@ -143,7 +143,7 @@
             Some(Err(end)) => return end,
         };
         let end = tokio::select! {
-            // First what has arrived: an answer that is there is delivered.
+            // Data that has arrived takes precedence, so that a completed answer is delivered.
             biased;
             end = self.copy_until_end(&mut rest) => end,
             why = time_over => {
@@ -151,8 +151,8 @@
                 let drained = tokio::time::timeout(DRAIN_TIMEOUT, drained).await;
                 match drained {
                     Ok(end @ (StreamEnd::Whole | StreamEnd::ClientGone)) => end,
-                    // Upstreams break off at the same deadline: that is no reason to ask
-                    // another.
+                    // Upstreams break off at the same deadline, which is no reason to try another
+                    // one.
                     Ok(_) | Err(_) => StreamEnd::TimedOut(why),
                 }
             }
@@ -163,8 +163,8 @@
         end
     }
 
-    /// Copies an upstream's bytes until they end. Dropped midway, it goes on where it was
-    /// when it is called again.
+    /// Copies the bytes of an upstream until they end. Cancellation-safe: another call continues
+    /// where a dropped one stopped.
     async fn copy_until_end(&mut self, rest: &mut BodyRest) -> StreamEnd {
         loop {
             if let Err(end) = self.send_unsent().await {
@@ -181,7 +181,7 @@
                 Some(Ok(frame)) => match frame.into_data().map(|data| self.cut(data)) {
                     Ok(Ok(data)) => self.unsent = Some(data),
                     Ok(Err(end)) => return end,
-                    // Trailers mean nothing to the client.
+                    // Trailers are not relayed.
                     Err(_) => {}
                 },
             }
@@ -192,8 +192,8 @@
         StreamEnd::Whole
     }
 
-    /// What the client gets of an upstream's bytes: of a stream that may go on elsewhere
-    /// whole events only.
+    /// Converts data from the upstream to data for the client: only whole events of a stream that
+    /// may be resumed, anything else unchanged.
     fn cut(&mut self, data: Bytes) -> Result<Bytes, StreamEnd> {
         match &mut self.cutter {
             Some(cutter) => cutter
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Sends the client what it hasn't got yet. A client that stops reading must not hold
-    /// its upstream's slot, so this may be dropped while it waits.
+    /// Sends the pending data to the client. This waits for a slow client and may be cancelled,
+    /// as such a client must not hold the upstream's slot.
     async fn send_unsent(&mut self) -> Result<(), StreamEnd> {
         if let Some(data) = self.unsent.clone().filter(|data| !data.is_empty()) {
             let since = Instant::now();
@@ -218,8 +218,8 @@
         Ok(())
     }
 
-    /// Goes on at another upstream after the last event that was passed on; none
-    /// if that isn't allowed or doesn't come about.
+    /// Resumes the stream at another upstream after the last event that was relayed; `None` if
+    /// that is not allowed or fails.
     async fn resume(&mut self, why: String) -> Option<(Option<Bytes>, Option<BodyRest>)> {
         let elapsed = self.account.received_at.elapsed();
         log_failed_attempt(&self.account, Outcome::BrokenOff.name(), &why, elapsed);
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -1,59 +1,58 @@
-//! The routes of one version of the configuration, ready for lookup.
+//! Route table of one version of the configuration.
 
 use crate::fleet::{Fleet, ServiceKey};
 use crate::tenants::{TenantInfo, TenantKey, TenantTable};
 use platform::{ApiKey, Config, Limits, Route};
 use std::time::Duration;
 
-/// A route with its services resolved.
+/// A route whose services are resolved to their keys.
 #[derive(Debug)]
 pub struct ResolvedRoute {
-    /// The route as configured.
+    /// Configured route.
     pub route: Route,
-    /// Services that share its requests, with their weights.
+    /// Services of the route, with the weights by which requests are divided.
     pub shares: Vec<(ServiceKey, u32)>,
 }
 
-/// The routes of one version of the configuration.
+/// Route table of one version of the configuration.
 #[derive(Debug)]
 pub struct RouteTable {
     /// Version of the configuration.
     pub version: u64,
-    /// Bounds on what callers may send.
+    /// Limits of requests.
     pub limits: Limits,
-    /// The configuration as it was read, for peers that can't reach the store.
+    /// The configuration itself, for peers that can't reach the store.
     pub config: Config,
-    /// Sorted by host, then by prefix.
+    /// Sorted by host, then by path prefix.
     targets: Vec<ResolvedRoute>,
-    /// None if requests need no key.
+    /// `None` if requests need no key.
     tenants: Option<TenantTable>,
 }
 
-/// Whose a request is.
+/// The party that sent a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Caller {
-    /// No tenants are in force.
+    /// The configuration has no tenants.
     Unrestricted,
-    /// Nobody's that is known, on a route that is open to all.
+    /// An unknown caller, on an open route.
     Anonymous,
-    /// A tenant's.
+    /// A tenant, identified by its key.
     Tenant(TenantKey),
 }
 
-/// Why a request isn't admitted to a route.
+/// Reason why a request is not allowed on a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// It bears no key, or several.
+    /// The request has no key, or several.
     NoKey,
-    /// No tenant holds its key.
+    /// No tenant has the key.
     UnknownKey,
-    /// Its key was taken away.
+    /// The key was removed.
     RemovedKey,
 }
 
 impl RouteTable {
-    /// Prepares a configuration for lookup. The table before tells which keys it takes
-    /// away.
+    /// Builds the table of a configuration. The previous table is used to detect removed keys.
     pub fn new(config: Config, fleet: &mut Fleet, before: Option<&Self>) -> Self {
         for service in &config.services {
             fleet.configure(service);
@@ -85,12 +84,12 @@
         }
     }
 
-    /// The tenants in force; none if requests need no key.
+    /// The tenants; `None` if requests need no key.
     pub fn tenants(&self) -> Option<&TenantTable> {
         self.tenants.as_ref()
     }
 
-    /// Whose a request with a key is, if it may go to a route.
+    /// Returns the caller of a request with the given key, if it is allowed on the route.
     pub fn admit(&self, target: &ResolvedRoute, key: Option<ApiKey>) -> Result<Caller, Denied> {
         let Some(tenants) = &self.tenants else {
             return Ok(Caller::Unrestricted);
@@ -108,7 +107,7 @@
         })
     }
 
-    /// What is known of a request's tenant, if it has one.
+    /// Information about the tenant that sent a request, if any.
     pub fn tenant(&self, caller: Caller) -> Option<&TenantInfo> {
         match caller {
             Caller::Tenant(tenant) => Some(self.tenants.as_ref()?.get(tenant)),
@@ -116,20 +115,20 @@
         }
     }
 
-    /// Routes in the table.
+    /// Number of routes.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether the table has no routes.
+    /// Whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// The host's route with the longest prefix that begins the path.
+    /// Finds the host's route with the longest prefix of the path.
     ///
-    /// Prefixes end with a slash, so only those that end at one of the path's
-    /// slashes can match: each of these is looked up, longest first.
+    /// Prefixes end with a slash, so only prefixes that end at one of the path's slashes can
+    /// match. Each of these is looked up, longest first.
     pub fn find(&self, host: &str, path: &str) -> Option<&ResolvedRoute> {
         let slashes = path.rmatch_indices('/').map(|(at, _)| at);
         slashes
@@ -150,7 +149,7 @@
         (&self.route.host, &self.route.path_prefix)
     }
 
-    /// Draws a service by weight.
+    /// Picks a service at random according to the weights.
     pub fn pick_service(&self) -> Option<ServiceKey> {
         let total: u32 = self.shares.iter().map(|(_, w)| w).sum();
         if total == 0 {
@@ -166,8 +165,8 @@
         None
     }
 
-    /// Time that is left of a request that came `elapsed` ago: until the client
-    /// gives up or the route's timeout, whichever is sooner.
+    /// Time left for a request that was received `elapsed` ago, until the client's deadline or
+    /// the route's timeout, whichever is earlier.
     pub fn time_left(&self, deadline: Option<Duration>, elapsed: Duration) -> Duration {
         let bound = deadline.map_or(self.route.timeout, |d| d.min(self.route.timeout));
         bound.saturating_sub(elapsed)
