--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,14 +1,14 @@
-//! One attempt: a request sent to one upstream, until its first bytes are back.
+//! Sends a request to one upstream and waits for the first bytes of the answer.
 
 mod split;
 
 use crate::account::Account;
 use crate::answer::Reason;
-use crate::choose::{Need, Plan};
+use crate::choose::{Plan, Requirements};
 use crate::crashes::broken::connection_broke;
 use crate::crashes::unanswered;
 use crate::duty::usage::UsageState;
-use crate::fleet::speed::Task;
+use crate::fleet::latency::Task;
 use crate::serve::Call;
 use crate::state::{Gateway, LoadGuard};
 use bytes::Bytes;
@@ -25,79 +25,76 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Largest plain answer that is gathered before it is passed on. A larger one is
-/// passed on as it comes.
-const MAX_GATHERED: u64 = 256 << 10;
-/// Part of the time that an upstream keeps idle connections within which one is
-/// used again. A request on one that is just being closed may be lost, and
-/// nobody can tell whether it has run.
-const IDLE_SHARE: f64 = 0.5;
-/// The same for an upstream that names no time.
-const IDLE_UNNAMED: Duration = Duration::from_millis(400);
-/// Ranks of requests at an engine, by the length of their answers.
+/// Size up to which a plain answer is buffered completely, in bytes. Larger ones are streamed.
+const MAX_BUFFERED_BYTES: u64 = 256 << 10;
+/// Fraction of the upstream's idle timeout for which an idle connection is reused. A request on a
+/// connection that is being closed may be lost, and nobody can tell whether it has run.
+const IDLE_FRACTION: f64 = 0.5;
+/// Time for which an idle connection is reused if the upstream names no timeout.
+const DEFAULT_IDLE: Duration = Duration::from_millis(400);
+/// Priorities of requests within an engine, by the length of the answer.
 const LONG_PRIORITY: u8 = 2;
 const SHORT_PRIORITY: u8 = 4;
-/// Weight of a failure of the connection in an upstream's health, and of an
-/// answer that says that the upstream failed: some services answer one request
-/// in seven so, and must not be suspended for it.
-pub const LOST_WEIGHT: f64 = 0.25;
-const ERROR_WEIGHT: f64 = 0.06;
+/// Weights in the upstream's health of a connection failure and of a server error. Some services
+/// answer one in seven requests with an error, and must not be suspended for it.
+pub const CONNECTION_FAILURE_WEIGHT: f64 = 0.25;
+const ERROR_ANSWER_WEIGHT: f64 = 0.06;
 
-/// An answer whose first bytes are there.
+/// An answer whose first bytes have arrived.
 #[derive(Debug)]
-pub struct Started {
+pub struct StartedAnswer {
     /// Status.
     pub status: StatusCode,
-    /// Headers as the worker sent them.
+    /// Headers as received from the upstream.
     pub headers: HeaderMap,
-    /// The first bytes of the body; none if it is empty.
+    /// First bytes of the body; `None` if it is empty.
     pub first: Option<Bytes>,
-    /// The rest of the body; none if `first` is all.
-    pub rest: Option<Rest>,
-    /// Load at the upstream, until the answer is through.
+    /// Rest of the body; `None` if `first` is complete.
+    pub rest: Option<BodyRest>,
+    /// The request's load on the upstream, released when the answer ends.
     pub load: LoadGuard,
 }
 
-/// The rest of an answer's body, with the connection it comes on.
+/// Rest of an answer's body, with its connection.
 #[derive(Debug)]
-pub struct Rest {
+pub struct BodyRest {
     /// The body.
     pub body: Incoming,
     conn: Returned,
     idle: Duration,
 }
 
-impl Rest {
-    /// Gives the connection back. Only after the body's end.
-    pub fn done(self) {
+impl BodyRest {
+    /// Returns the connection to the pool. Must be called only after the end of the body.
+    pub fn finish(self) {
         drop(self.body);
         self.conn.keep(Some(self.idle));
     }
 }
 
-/// What came of an attempt.
+/// Result of an attempt.
 #[derive(Debug)]
-pub enum Tried {
-    /// An answer has begun.
-    Started(Box<Started>),
-    /// The request hasn't run there, and won't.
+pub enum AttemptResult {
+    /// The answer has begun.
+    Started(Box<StartedAnswer>),
+    /// The upstream has not run the request, and will not.
     NotRun(NotRun),
-    /// The request may have run there.
+    /// The upstream may have run the request. Contains the error.
     Unknown(String),
 }
 
-/// Why a request hasn't run at an upstream.
+/// Reason why an upstream has not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
     /// Nothing was sent.
     NotSent,
-    /// The upstream says so.
+    /// The upstream reported that it did not run the request.
     Rejected,
-    /// The prompt wasn't read, or its KV cache can't be had.
-    NoPrefill,
-    /// The prompt was read, but the process ends before an answer would.
+    /// The prefill failed, or its KV cache is not available.
+    PrefillFailed,
+    /// The prefill succeeded, but the process ends before the answer would.
     NoTime,
-    /// It may be sent to none any more.
+    /// The request may not be sent to any upstream.
     Held(Reason),
 }
 
@@ -106,35 +103,40 @@
         match self {
             Self::NotSent => "not sent",
             Self::Rejected => "rejected",
-            Self::NoPrefill => "prompt not read",
-            Self::NoTime => "no time left for the answer",
+            Self::PrefillFailed => "prefill failed",
+            Self::NoTime => "process stops before the answer would end",
             Self::Held(why) => why.name(),
         }
     }
 }
 
-/// Sends a request by a plan. Dropped before its end, it is cancelled there.
-pub async fn attempt(call: &Call, account: &mut Account, plan: &Plan, need: &Need<'_>) -> Tried {
+/// Sends a request according to a plan. Cancels it at the upstream if dropped.
+pub async fn attempt(
+    call: &Call,
+    account: &mut Account,
+    plan: &Plan,
+    need: &Requirements<'_>,
+) -> AttemptResult {
     let since = Instant::now();
     account.upstream = Some(plan.instance.clone());
-    account.tried = Some(plan.sent_to());
+    account.last_sent_to = Some(plan.sent_to());
     account.inputs = call.is_engine.then_some(plan.inputs);
     let tried = if plan.task == Task::Prefill {
         attempt_split(call, account, plan, need).await
     } else {
-        attempt_at(call, account, plan, Step::Run).await
+        send_to(call, account, plan, Step::Run).await
     };
     let (outcome, why) = match &tried {
-        Tried::Started(_) => return tried,
-        Tried::NotRun(why) => ("not_run", why.name()),
-        Tried::Unknown(why) => ("unknown", why.as_str()),
+        AttemptResult::Started(_) => return tried,
+        AttemptResult::NotRun(why) => ("not_run", why.name()),
+        AttemptResult::Unknown(why) => ("unknown", why.as_str()),
     };
-    tell_failed(account, outcome, why, since.elapsed());
+    log_failed_attempt(account, outcome, why, since.elapsed());
     tried
 }
 
-/// Logs an attempt that didn't bring the answer.
-pub fn tell_failed(account: &Account, outcome: &str, why: &str, took: Duration) {
+/// Logs an attempt without an answer.
+pub fn log_failed_attempt(account: &Account, outcome: &str, why: &str, took: Duration) {
     emit(&Event::AttemptFailed {
         request: &account.id,
         attempt: account.attempts,
@@ -145,91 +147,96 @@
     });
 }
 
-/// Notes that an engine reads a request's prompt.
-fn note_parts(call: &Call, plan: &Plan) {
+/// Records that an engine prefills the request's prompt.
+fn record_parts(call: &Call, plan: &Plan) {
     let parts = &call.incoming.parts;
     call.gateway
         .fleet()
-        .note_parts(plan.key, parts, Instant::now());
+        .record_parts(plan.key, parts, Instant::now());
 }
 
-/// Sends the request itself to an upstream.
-pub async fn attempt_at(call: &Call, account: &mut Account, plan: &Plan, step: Step<'_>) -> Tried {
+/// Sends the whole request to an upstream.
+pub async fn send_to(
+    call: &Call,
+    account: &mut Account,
+    plan: &Plan,
+    step: Step<'_>,
+) -> AttemptResult {
     let gateway = &call.gateway;
     let load = gateway.add_load(plan.key, plan.inputs.uncached, plan.is_long);
     if call.is_engine && plan.task == Task::Generate {
-        note_parts(call, plan);
+        record_parts(call, plan);
     }
     let since = Instant::now();
-    let Some(req) = request(call, plan, step) else {
-        return Tried::NotRun(NotRun::NotSent);
+    let Some(req) = build_request(call, plan, step) else {
+        return AttemptResult::NotRun(NotRun::NotSent);
     };
     let had_run = std::mem::replace(&mut account.may_have_run, true);
     let begin = account.begin;
-    note_sent(call, account, since);
+    record_sent(call, account, since);
     let watch = unanswered::watch_trial(call, account);
     let answer = match plan.pool.send_once(req).await {
         Ok(answer) => answer,
         Err(CallError::NotSent(_)) => {
             watch.cancel();
             (account.may_have_run, account.begin) = (had_run, begin);
-            failed(gateway, plan, LOST_WEIGHT);
-            return Tried::NotRun(NotRun::NotSent);
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            return AttemptResult::NotRun(NotRun::NotSent);
         }
         Err(CallError::MaybeSent(why)) => {
             account.attempts += 1;
             connection_broke(call, account);
-            failed(gateway, plan, LOST_WEIGHT);
-            return Tried::Unknown(why);
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            return AttemptResult::Unknown(why);
         }
     };
     account.attempts += 1;
     let (res, conn) = answer.split();
     let (head, body) = res.into_parts();
-    let said = header::from_worker(&head.headers, &call.incoming.id);
-    if !said.is_ours {
-        failed(gateway, plan, LOST_WEIGHT);
-        return Tried::Unknown(format!("{} without this request's id", head.status));
+    let from_worker = header::from_worker(&head.headers, &call.incoming.id);
+    if !from_worker.is_ours {
+        record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+        return AttemptResult::Unknown(format!("{} without this request's id", head.status));
     }
     let idle = idle_time(&head.headers);
     if head.status != StatusCode::MISDIRECTED_REQUEST {
-        lives(gateway, plan, since);
+        record_alive(gateway, plan, since);
     }
-    if said.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
-        // NB: the body of a rejection is short; the connection is kept if it
-        // is already there.
+    if from_worker.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
+        // NB: the body of a rejection is short; the connection is kept only if the body has
+        // already arrived.
         if body.is_end_stream() {
             conn.keep(Some(idle));
         }
         watch.cancel();
         (account.may_have_run, account.begin) = (had_run, begin);
-        failed(gateway, plan, LOST_WEIGHT);
-        return Tried::NotRun(NotRun::Rejected);
+        record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+        return AttemptResult::NotRun(NotRun::Rejected);
     }
-    let is_bad = !said.is_signed || head.headers.contains_key(CONTENT_ENCODING);
+    let is_bad = !from_worker.is_signed || head.headers.contains_key(CONTENT_ENCODING);
     if head.status.is_success() && is_bad {
-        failed(gateway, plan, LOST_WEIGHT);
-        return Tried::Unknown("a success without a signature".into());
+        record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+        return AttemptResult::Unknown("success status without a response signature".into());
     }
-    let rest = Rest { body, conn, idle };
+    let rest = BodyRest { body, conn, idle };
     let read = read_first(call, rest).await;
     let (first, rest) = match read {
         Ok(read) => read,
         Err(why) => {
             connection_broke(call, account);
-            failed(gateway, plan, LOST_WEIGHT);
-            return Tried::Unknown(why);
+            record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
+            return AttemptResult::Unknown(why);
         }
     };
     if head.status.is_server_error() {
-        failed(gateway, plan, ERROR_WEIGHT);
+        record_failure(gateway, plan, ERROR_ANSWER_WEIGHT);
     } else {
-        measured(gateway, call, plan, since.elapsed());
+        record_first_byte(gateway, call, plan, since.elapsed());
     }
     let mut load = load;
     load.first_byte_received();
-    note_begun(call, account, since);
-    Tried::Started(Box::new(Started {
+    record_begun(call, account, since);
+    AttemptResult::Started(Box::new(StartedAnswer {
         status: head.status,
         headers: head.headers,
         first,
@@ -238,27 +245,30 @@
     }))
 }
 
-/// Notes that an upstream was sent a request: a plain one begins there about then, also if
-/// nobody hears its answer. A stream's first event shows that it has begun.
-fn note_sent(call: &Call, account: &mut Account, at: Instant) {
+/// Records that a request was sent. A plain request is taken to begin to run now, even if its
+/// answer is lost; a stream begins with its first event.
+fn record_sent(call: &Call, account: &mut Account, at: Instant) {
     if !call.target().route.kind.is_stream() && account.begin == UsageState::NotSent {
         account.begin = UsageState::Sent(at);
     }
 }
 
-/// Notes that an upstream's answer has begun.
-fn note_begun(call: &Call, account: &mut Account, sent_at: Instant) {
+/// Records that an upstream's answer has begun.
+fn record_begun(call: &Call, account: &mut Account, sent_at: Instant) {
     let at = match (call.target().route.kind.is_stream(), account.begin) {
         (true, _) => Instant::now(),
         (false, UsageState::Sent(first)) => first,
         (false, _) => sent_at,
     };
-    account.has_begun(at);
+    account.count_as_begun(at);
 }
 
-/// Reads the beginning of a stream, or the whole of a plain answer.
-async fn read_first(call: &Call, mut rest: Rest) -> Result<(Option<Bytes>, Option<Rest>), String> {
-    let is_large = rest.body.size_hint().lower() > MAX_GATHERED;
+/// Reads the first bytes of a stream, or the whole body of a plain answer.
+async fn read_first(
+    call: &Call,
+    mut rest: BodyRest,
+) -> Result<(Option<Bytes>, Option<BodyRest>), String> {
+    let is_large = rest.body.size_hint().lower() > MAX_BUFFERED_BYTES;
     if !call.target().route.kind.is_stream() && !is_large {
         let whole = rest.body.collect().await.map_err(|e| e.to_string())?;
         rest.conn.keep(Some(rest.idle));
@@ -267,7 +277,7 @@
     loop {
         match rest.body.frame().await {
             None => {
-                rest.done();
+                rest.finish();
                 return Ok((None, None));
             }
             Some(Err(e)) => return Err(e.to_string()),
@@ -280,9 +290,9 @@
     }
 }
 
-/// Rank of a request among an engine's own. Engines preempt what is less urgent
-/// whenever their slots are full, and a preempted answer is late for good. A tenant whose
-/// requests are more or less urgent than their route's goes before or behind its like.
+/// Priority of a request within an engine. When their slots are full, engines preempt less urgent
+/// requests, whose answers are then late. Requests of a tenant that are more or less urgent than
+/// the route's are ranked before or after others with answers of the same length.
 fn engine_priority(call: &Call, plan: &Plan) -> u8 {
     let rank = match plan.is_long {
         true => LONG_PRIORITY,
@@ -296,14 +306,14 @@
 }
 
 fn idle_time(headers: &HeaderMap) -> Duration {
-    header::idle_timeout(headers).map_or(IDLE_UNNAMED, |t| t.mul_f64(IDLE_SHARE))
+    header::idle_timeout(headers).map_or(DEFAULT_IDLE, |t| t.mul_f64(IDLE_FRACTION))
 }
 
-/// Builds the request for an upstream; none if it can't be built.
-fn request(call: &Call, plan: &Plan, step: Step<'_>) -> Option<Request<Body>> {
+/// Builds the request for an upstream; `None` if that fails.
+fn build_request(call: &Call, plan: &Plan, step: Step<'_>) -> Option<Request<Body>> {
     let is_engine = call.is_engine;
     let left = call.incoming.deadline.map(|_| call.time_left());
-    let say = ToWorker {
+    let to_worker = ToWorker {
         instance: &plan.instance,
         deadline: left.or_else(|| Some(call.time_left())),
         rank: is_engine.then(|| engine_priority(call, plan)),
@@ -315,12 +325,12 @@
     let mut req = Request::new(full(call.body.clone()));
     *req.method_mut() = call.method.clone();
     *req.uri_mut() = call.path.clone();
-    *req.headers_mut() = header::to_worker(&call.headers, &say);
+    *req.headers_mut() = header::to_worker(&call.headers, &to_worker);
     Some(req)
 }
 
-/// Notes an answer's first byte in what is known of the upstream.
-fn measured(gateway: &Arc<Gateway>, call: &Call, plan: &Plan, took: Duration) {
+/// Updates the upstream's health, and for an engine its latency model and slowdown.
+fn record_first_byte(gateway: &Arc<Gateway>, call: &Call, plan: &Plan, took: Duration) {
     let ms = took.as_secs_f64() * 1000.0;
     let mut fleet = gateway.fleet();
     let Some(upstream) = fleet.get_mut(plan.key) else {
@@ -332,23 +342,23 @@
     }
     let service = upstream.service;
     let slowdown = upstream.slowdown.factor();
-    let speed = fleet.speed_mut(service, plan.task);
-    let estimate = speed.estimate(plan.inputs.work);
-    speed.sample(plan.inputs.work, ms / slowdown);
+    let speed = fleet.latency_model_mut(service, plan.task);
+    let estimate = speed.estimate(plan.inputs.backlog);
+    speed.add_sample(plan.inputs.backlog, ms / slowdown);
     if let Some(upstream) = fleet.get_mut(plan.key) {
-        upstream.slowdown.sample(ms, estimate);
+        upstream.slowdown.add_sample(ms, estimate);
     }
 }
 
-/// Notes that an upstream has answered a request that was sent at a time.
-fn lives(gateway: &Arc<Gateway>, plan: &Plan, sent_at: Instant) {
+/// Records that an upstream has answered a request sent at the given time, and so was alive.
+fn record_alive(gateway: &Arc<Gateway>, plan: &Plan, sent_at: Instant) {
     if let Some(upstream) = gateway.fleet().get_mut(plan.key) {
-        upstream.lived_at = upstream.lived_at.max(Some(sent_at));
+        upstream.alive_at = upstream.alive_at.max(Some(sent_at));
     }
 }
 
-/// Notes a failure of an upstream.
-pub fn failed(gateway: &Arc<Gateway>, plan: &Plan, weight: f64) {
+/// Records a failure of an upstream, and logs if it is suspended.
+pub fn record_failure(gateway: &Arc<Gateway>, plan: &Plan, weight: f64) {
     let mut fleet = gateway.fleet();
     let Some(upstream) = fleet.get_mut(plan.key) else {
         return;
@@ -363,7 +373,7 @@
     }
 }
 
-fn tell_bad(call: &Call, plan: &Plan, why: String) {
+fn log_bad_answer(call: &Call, plan: &Plan, why: String) {
     emit(&Event::BadAnswer {
         request: call.incoming.id.clone(),
         upstream: &plan.instance,
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -29,12 +29,12 @@
 
 /// Starts a check of the upstream whose connection broke during a request.
 pub fn connection_broke(call: &Call, account: &mut Account) {
-    let (Some(sent), Some(instance)) = (account.tried, account.upstream.clone()) else {
+    let (Some(sent), Some(instance)) = (account.last_sent_to, account.upstream.clone()) else {
         return;
     };
     let SentTo { key, tag } = sent;
     let work = call.fingerprint();
-    account.work = Some(work);
+    account.fingerprint = Some(work);
     let broken = BrokenConnection {
         gateway: call.gateway.clone(),
         request: account.id.clone(),
@@ -78,7 +78,7 @@
         let Some(upstream) = fleet.get(self.key) else {
             return true;
         };
-        let has_answered_since = upstream.lived_at.is_some_and(|at| at > self.at);
+        let has_answered_since = upstream.alive_at.is_some_and(|at| at > self.at);
         !has_answered_since && !upstream.pool.has_open()
     }
 }
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -94,7 +94,7 @@
     ) else {
         return;
     };
-    account.work = Some(request.work);
+    account.fingerprint = Some(request.work);
     tokio::spawn(async move {
         request.watch().await;
         drop(permit);
@@ -108,7 +108,7 @@
             gateway: call.gateway.clone(),
             request: account.id.clone(),
             work: call.fingerprint(),
-            to: account.tried?,
+            to: account.last_sent_to?,
             upstream: account.upstream.clone()?,
             in_trial: account.trial.is_some(),
             at: Instant::now(),
@@ -155,7 +155,7 @@
         let Some(upstream) = fleet.get(self.to.key) else {
             return UpstreamFate::Ended;
         };
-        let has_answered_since = upstream.lived_at.is_some_and(|at| at > self.at);
+        let has_answered_since = upstream.alive_at.is_some_and(|at| at > self.at);
         match has_answered_since || !upstream.is_open() {
             true => UpstreamFate::Alive,
             false => UpstreamFate::Unknown,
--- a/crates/gateway/src/fleet/durations.rs
+++ b/crates/gateway/src/fleet/durations.rs
@@ -1,91 +1,92 @@
-//! How long answers take past the estimate of their first byte, learned from whole ones.
+//! Estimates an upper bound of the time that answers take beyond the estimated first byte.
 //!
-//! A process that is stopping takes a request only if its answer will end before the
-//! process does. The mean doesn't help there: each answer that takes longer is cut off. So
-//! the slowest answer of about the same length in the last minutes stands for the next one.
-//! What a stop may cut off then are the answers of its last seconds that are slower than all
-//! of these minutes, which is rare whatever the rate.
+//! A process that is stopping accepts a request only if the answer will end before the process
+//! does. A mean is not enough, as each answer that takes longer would be cut off. The bound is
+//! therefore taken from the slowest answer of similar length within the last minutes. Only those
+//! answers of the process's last seconds are cut off that are slower than all answers of these
+//! minutes, which is rare at any request rate.
 
-mod told;
+mod snapshot;
 
-pub use told::{RouteTold, Told, WindowTold};
+pub use snapshot::{DurationSnapshot, RouteSnapshot, WindowSnapshot};
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time in which answers count, in windows that are forgotten one by one: long against the
-/// seconds of a stop, and no longer than load and fleet stay about the same.
+/// Length and number of the windows in which answers are counted; expired windows are dropped one
+/// by one. The total is long compared to the seconds of a stop, and short enough that load and
+/// fleet stay about the same.
 const WINDOW: Duration = Duration::from_secs(30);
 const WINDOWS: usize = 10;
-/// Answers from which a bound is taken, at least: of fewer the slowest tells little. Rare
-/// lengths borrow those of the lengths next to them.
-const ENOUGH: usize = 16;
-/// What is added to the slowest answer, as a share: clients' estimates of lengths are often
-/// far off, and the next answer may be slower still.
+/// Minimum number of answers for a bound, as the slowest of fewer says little. Rare lengths use
+/// answers of neighbouring lengths too.
+const MIN_ANSWERS: usize = 16;
+/// Fraction that is added to the slowest answer. Length hints of clients are often far off, and
+/// the next answer may be slower still.
 const MARGIN: f64 = 0.3;
-/// The same for answers that were watched for a short time only, divided by that time: the
-/// seconds of a stop in which an answer slower than all before would be cut off. Answers of a
-/// length that were watched for less say nothing, however many they are; just past it the
-/// whole is added, after a minute next to nothing.
-const RISKY: Duration = Duration::from_secs(5);
-/// Time taken for granted while too few answers were seen: a part for each, and one for each
-/// token that an answer may have, the pace that the product promises for 95 in 100 tokens.
-const START: Duration = Duration::from_secs(1);
-/// The same for an answer of which the route alone is known: until its request's own time is
-/// over.
-const START_PLAIN: Duration = Duration::MAX;
-const START_PER_TOKEN: Duration = Duration::from_millis(25);
-/// Longest answers that have a class of their own: 2^16 tokens.
-const MAX_BITS: u32 = 17;
-const CLASSES: usize = MAX_BITS as usize;
-/// Routes that are kept of one service. Configurations come and go; past this many all
-/// are learned anew.
+/// Minimum time over which answers must be observed, however many there are. The margin grows by
+/// this time divided by the observed time: just past the minimum the slowest duration is added
+/// once more, after a minute next to nothing. The value matches the seconds of a stop in which an
+/// answer slower than all before would be cut off.
+const MIN_OBSERVED: Duration = Duration::from_secs(5);
+/// Default bound while there are too few answers: a fixed part and a part per output token, which
+/// is the pace promised for 95 % of the tokens.
+const DEFAULT_BASE: Duration = Duration::from_secs(1);
+/// Default bound for an answer of which only the route is known: only the request's own timeout
+/// limits it.
+const DEFAULT_PLAIN: Duration = Duration::MAX;
+const DEFAULT_PER_TOKEN: Duration = Duration::from_millis(25);
+/// Number of length classes; the last one begins at 2^16 tokens.
+const MAX_LENGTH_BITS: u32 = 17;
+const CLASSES: usize = MAX_LENGTH_BITS as usize;
+/// Maximum number of routes per service. Routes come and go with configurations; at the limit all
+/// samples are dropped.
 const MAX_ROUTES: usize = 1024;
 
-/// What is known of an answer's length before it comes.
+/// What is known about an answer's length in advance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Length {
-    /// Another's than an engine's: its route alone says something.
+    /// An answer of a plain service, of which only the route is known.
     Plain {
         /// Hash of the route's name.
         route: u64,
     },
-    /// An engine's answer.
+    /// An answer of an engine.
     Tokens {
-        /// Tokens that the client expects.
+        /// Number of tokens that the client expects.
         expected: u32,
-        /// The most that it may have.
-        most: u32,
+        /// Maximum number of tokens.
+        max: u32,
     },
 }
 
-/// How long answers of one service take, by their length.
+/// Durations of the answers of one service, grouped by length.
 #[derive(Debug, Default)]
 pub struct Durations {
-    /// Engines' answers, by class of length; see [`class`].
-    classes: Vec<Class>,
-    /// Others, sorted by route.
-    routes: Vec<Route>,
+    /// Answers of engines, by length class; see [`class`].
+    classes: Vec<Samples>,
+    /// Answers of plain services, sorted by route.
+    routes: Vec<RouteSamples>,
 }
 
 /// Answers of one route.
 #[derive(Debug)]
-struct Route {
-    name: u64,
-    answers: Class,
+struct RouteSamples {
+    route: u64,
+    answers: Samples,
 }
 
-/// Answers of one class.
+/// Answers of one length class or route.
 #[derive(Debug, Default)]
-struct Class {
-    /// The last windows, the newest first.
+struct Samples {
+    /// Most recent windows, newest first.
     windows: VecDeque<Window>,
-    /// When those came that are being streamed now: a process that has just started has
-    /// seen the end of short answers only.
+    /// Times at which the requests of unfinished streams were received. Without them, a newly
+    /// started process would know only short answers.
     running: Vec<Instant>,
 }
 
-/// Answers that ended in a span of time.
+/// Answers that ended within one time window.
 #[derive(Debug, Clone, Copy)]
 struct Window {
     since: Instant,
@@ -93,89 +94,91 @@
     slowest: Duration,
 }
 
-/// A class that tells something of another.
+/// A length class whose answers are used for another class.
 #[derive(Debug, Clone, Copy)]
-struct Neighbour {
+struct SimilarClass {
     class: usize,
-    /// How many times longer than its answers those of the other class may be.
-    times: u32,
+    /// Factor by which the answers' durations are multiplied for the other class.
+    factor: u32,
 }
 
 impl Durations {
-    /// Notes a whole answer that ended now, so long after the estimate of its first byte.
-    pub fn note(&mut self, length: Length, took: Duration, now: Instant) {
-        self.class_mut(length).push(took, now);
+    /// Records a complete answer that ended now; `took` counts from the estimated first byte.
+    pub fn record(&mut self, length: Length, took: Duration, now: Instant) {
+        self.samples_mut(length).push(took, now);
     }
 
-    /// Notes that an answer is streamed whose request came at a time.
+    /// Records the begin of a streamed answer; `since` is the time at which the request was
+    /// received.
     pub fn begin(&mut self, length: Length, since: Instant) {
-        self.class_mut(length).running.push(since);
+        self.samples_mut(length).running.push(since);
     }
 
-    /// Notes that such an answer has ended, whole or not.
+    /// Records the end of a streamed answer, complete or not.
     pub fn end(&mut self, length: Length, since: Instant) {
-        let running = &mut self.class_mut(length).running;
+        let running = &mut self.samples_mut(length).running;
         if let Some(at) = running.iter().position(|s| *s == since) {
             running.swap_remove(at);
         }
     }
 
-    /// How long after the estimate of its first byte an answer ends at the latest, as far as
-    /// is known.
-    pub fn longest(&self, length: Length, now: Instant) -> Duration {
+    /// Upper bound of the time from the estimated first byte to the end of an answer.
+    pub fn upper_bound(&self, length: Length, now: Instant) -> Duration {
         let mut count = 0;
         let mut slowest = Duration::ZERO;
-        let mut watched = Duration::ZERO;
-        for (near, times) in self.nearest(length) {
-            count += near.count(now);
-            slowest = slowest.max(near.slowest(now).saturating_mul(times));
-            watched = watched.max(near.watched(now));
-            if count >= ENOUGH && watched >= RISKY {
-                return slowest.mul_f64(factor(watched));
+        let mut observed_for = Duration::ZERO;
+        for (samples, factor) in self.similar_samples(length) {
+            count += samples.count(now);
+            slowest = slowest.max(samples.slowest(now).saturating_mul(factor));
+            observed_for = observed_for.max(samples.observed_for(now));
+            if count >= MIN_ANSWERS && observed_for >= MIN_OBSERVED {
+                return slowest.mul_f64(margin_factor(observed_for));
             }
         }
-        slowest.mul_f64(factor(watched)).max(length.start())
+        slowest
+            .mul_f64(margin_factor(observed_for))
+            .max(length.default_duration())
     }
 
-    /// The answers that tell most of one, from the nearest on, and how many times longer than
-    /// theirs it may be.
-    fn nearest(&self, length: Length) -> Vec<(&Class, u32)> {
+    /// Samples that apply to an answer, most similar first, with factors for their durations.
+    fn similar_samples(&self, length: Length) -> Vec<(&Samples, u32)> {
         match length {
             Length::Plain { route } => {
-                let at = self.routes.binary_search_by_key(&route, |r| r.name);
+                let at = self.routes.binary_search_by_key(&route, |r| r.route);
                 at.map_or(Vec::new(), |at| vec![(&self.routes[at].answers, 1)])
             }
             Length::Tokens { expected, .. } => {
-                let near = neighbours(class(expected)).into_iter();
-                near.filter_map(|n| Some((self.classes.get(n.class)?, n.times)))
+                let similar = similar_classes(class(expected)).into_iter();
+                similar
+                    .filter_map(|n| Some((self.classes.get(n.class)?, n.factor)))
                     .collect()
             }
         }
     }
 
-    fn class_mut(&mut self, length: Length) -> &mut Class {
+    fn samples_mut(&mut self, length: Length) -> &mut Samples {
         match length {
-            Length::Plain { route } => self.route_mut(route),
+            Length::Plain { route } => self.route_samples_mut(route),
             Length::Tokens { expected, .. } => {
                 let class = class(expected);
                 if self.classes.len() <= class {
-                    self.classes.resize_with(class + 1, Class::default);
+                    self.classes.resize_with(class + 1, Samples::default);
                 }
                 &mut self.classes[class]
             }
         }
     }
 
-    fn route_mut(&mut self, name: u64) -> &mut Class {
-        let at = match self.routes.binary_search_by_key(&name, |r| r.name) {
+    fn route_samples_mut(&mut self, route: u64) -> &mut Samples {
+        let at = match self.routes.binary_search_by_key(&route, |r| r.route) {
             Ok(at) => at,
             Err(_) if self.routes.len() >= MAX_ROUTES => {
                 self.routes.clear();
-                return self.route_mut(name);
+                return self.route_samples_mut(route);
             }
             Err(at) => {
-                let answers = Class::default();
-                self.routes.insert(at, Route { name, answers });
+                let answers = Samples::default();
+                self.routes.insert(at, RouteSamples { route, answers });
                 at
             }
         };
@@ -183,7 +186,7 @@
     }
 }
 
-impl Class {
+impl Samples {
     fn push(&mut self, took: Duration, now: Instant) {
         let newest = self.windows.front_mut();
         match newest.filter(|w| now.saturating_duration_since(w.since) < WINDOW) {
@@ -202,72 +205,72 @@
         }
     }
 
-    /// The windows that still count.
-    fn latest(&self, now: Instant) -> impl Iterator<Item = &Window> {
+    /// Windows that have not expired.
+    fn current_windows(&self, now: Instant) -> impl Iterator<Item = &Window> {
         let oldest = WINDOW * WINDOWS as u32;
         let age = move |w: &Window| now.saturating_duration_since(w.since);
         self.windows.iter().filter(move |w| age(w) < oldest)
     }
 
-    /// For how long they were watched.
-    fn watched(&self, now: Instant) -> Duration {
-        let first = self.latest(now).last();
-        first.map_or(Duration::ZERO, |w| now.saturating_duration_since(w.since))
+    /// Time since the start of the oldest window.
+    fn observed_for(&self, now: Instant) -> Duration {
+        let oldest = self.current_windows(now).last();
+        oldest.map_or(Duration::ZERO, |w| now.saturating_duration_since(w.since))
     }
 
     fn count(&self, now: Instant) -> usize {
-        self.latest(now).map(|w| w.count).sum()
+        self.current_windows(now).map(|w| w.count).sum()
     }
 
-    /// The slowest of the latest answers and of those that still run.
+    /// Slowest of the recent answers and of those that are still running.
     fn slowest(&self, now: Instant) -> Duration {
-        let ages = self.running.iter();
-        let ages = ages.map(|since| now.saturating_duration_since(*since));
-        let all = self.latest(now).map(|w| w.slowest).chain(ages);
+        let running = self.running.iter();
+        let running = running.map(|since| now.saturating_duration_since(*since));
+        let all = self.current_windows(now).map(|w| w.slowest).chain(running);
         all.max().unwrap_or_default()
     }
 }
 
 impl Length {
-    /// What is taken for granted of it while too little is known.
-    fn start(self) -> Duration {
+    /// Bound that is used while there are too few samples.
+    fn default_duration(self) -> Duration {
         match self {
-            Self::Plain { .. } => START_PLAIN,
-            Self::Tokens { expected, most } => {
-                START + START_PER_TOKEN.saturating_mul(expected.max(most))
+            Self::Plain { .. } => DEFAULT_PLAIN,
+            Self::Tokens { expected, max } => {
+                DEFAULT_BASE + DEFAULT_PER_TOKEN.saturating_mul(expected.max(max))
             }
         }
     }
 }
 
-/// How many times longer than the slowest answer the next may take, where they were watched for
-/// a time.
-fn factor(watched: Duration) -> f64 {
-    1.0 + MARGIN + RISKY.as_secs_f64() / watched.max(RISKY).as_secs_f64()
+/// Factor by which the slowest answer is multiplied, for samples observed over the given time.
+fn margin_factor(observed_for: Duration) -> f64 {
+    1.0 + MARGIN + MIN_OBSERVED.as_secs_f64() / observed_for.max(MIN_OBSERVED).as_secs_f64()
 }
 
-/// Class of an engine's answer: those of one class differ in their expected length by less
-/// than a factor of two.
+/// Length class of an engine's answer. Expected lengths within a class differ by less than a
+/// factor of two.
 fn class(tokens: u32) -> usize {
     let bits = u32::BITS - tokens.max(1).leading_zeros();
-    bits.min(MAX_BITS) as usize - 1
+    bits.min(MAX_LENGTH_BITS) as usize - 1
 }
 
-/// A class and those that tell something of it, from the nearest on: each is twice as long
-/// as the one before, and longer answers take no less.
-fn neighbours(wanted: usize) -> Vec<Neighbour> {
-    let mut all = vec![Neighbour {
+/// Classes whose answers apply to a class, most similar first. A class doubles the lengths of the
+/// one before it, so durations of shorter classes are scaled up; those of longer classes are
+/// upper bounds as they are.
+fn similar_classes(wanted: usize) -> Vec<SimilarClass> {
+    let mut all = vec![SimilarClass {
         class: wanted,
-        times: 1,
+        factor: 1,
     }];
     for step in 1..CLASSES {
         if let Some(class) = wanted.checked_sub(step) {
-            let times = 1 << step;
-            all.push(Neighbour { class, times });
+            let factor = 1 << step;
+            all.push(SimilarClass { class, factor });
         }
         let class = wanted + step;
         if class < CLASSES {
-            all.push(Neighbour { class, times: 1 });
+            all.push(SimilarClass { class, factor: 1 });
         }
     }
     all
--- a/crates/gateway/src/follow/registry.rs
+++ b/crates/gateway/src/follow/registry.rs
@@ -4,8 +4,8 @@
 //! changes themselves only if these stop sending.
 
 use super::{ANSWER_TIMEOUT, Dependency, FREQUENT_READERS, StoreClient, log_malformed};
-use crate::fleet::{Fleet, Merged, UpstreamKey};
-use crate::missing::Missing;
+use crate::fleet::{Fleet, MergeOutcome, UpstreamKey};
+use crate::missing::MissingUpstreams;
 use crate::state::Gateway;
 use net::Meter;
 use observe::{Event, emit};
@@ -60,7 +60,7 @@
             Ok(change) => {
                 let (asked_at, store_ms) = *first_page.get_or_insert((asked_at, change.now_ms));
                 if let Some(last_failure) = dependency.record_success() {
-                    gateway.missing().open(last_failure);
+                    gateway.missing().begin_grace_period(last_failure);
                 }
                 log_malformed("registry", change.malformed);
                 pages.extend(change.items);
@@ -137,7 +137,7 @@
             Some(place) => FALLBACK_REGISTRY_AGE + FALLBACK_AGE_PER_PLACE * place.min(MAX_PLACES),
         };
         let mut left = bound.saturating_sub(gateway.registry_age());
-        if let Some(until) = gateway.missing().until() {
+        if let Some(until) = gateway.missing().expires_at() {
             // Upstreams that haven't returned by then must be removed without delay.
             left = left.min(until.saturating_duration_since(Instant::now()));
         }
@@ -164,29 +164,29 @@
         false => apply_changes(gateway, changes, is_whole, version),
     };
     let mut missing = gateway.missing();
-    let mut gone = match missing.is_open(now) {
+    let mut gone = match missing.is_in_grace_period(now) {
         true => hold_back(&mut missing, gone, version),
         false => gone,
     };
-    gone.append(&mut missing.take_overdue(now));
+    gone.append(&mut missing.take_expired(now));
     drop(missing);
     for id in &gone {
         remove(gateway, id, NOT_REGISTERED, version);
     }
     if !is_old {
         gateway.set_registry(version);
-        gateway.fleet().see_starts();
+        gateway.fleet().assume_empty_caches();
     }
 }
 
 /// Keeps upstreams that may return. Returns an empty list, as none is to be removed yet.
-fn hold_back(missing: &mut Missing, gone: Vec<String>, registry: u64) -> Vec<String> {
+fn hold_back(missing: &mut MissingUpstreams, gone: Vec<String>, registry: u64) -> Vec<String> {
     for id in gone {
         emit(&Event::UpstreamMissing {
             upstream: &id,
             registry,
         });
-        missing.hold(id);
+        missing.add(id);
     }
     Vec::new()
 }
@@ -205,13 +205,13 @@
     }
     let gone = apply_changes(gateway, changes, is_whole, version);
     for id in &gone {
-        gateway.missing().found(id);
+        gateway.missing().remove(id);
     }
     for id in &gone {
         remove(gateway, id, NOT_REGISTERED, version);
     }
     gateway.set_registry(version);
-    gateway.fleet().see_starts();
+    gateway.fleet().assume_empty_caches();
 }
 
 /// Applies upstreams that are present and returns the ids of those that are gone.
@@ -229,7 +229,7 @@
     for change in changes {
         match change {
             Registration::Present(instance) => {
-                gateway.missing().found(&instance.id);
+                gateway.missing().remove(&instance.id);
                 gone.retain(|id| *id != instance.id);
                 merge_instance(gateway, instance, version, &gateway.upstream_bytes);
             }
@@ -237,7 +237,7 @@
             Registration::Unreadable(row) => {
                 // The entry exists, so this upstream can't return like one whose entry has
                 // expired.
-                gateway.missing().found(&row.id);
+                gateway.missing().remove(&row.id);
                 gone.retain(|id| *id != row.id);
                 remove_unreadable(gateway, &row, version);
             }
@@ -266,10 +266,10 @@
     let mut fleet = gateway.fleet();
     let merged = fleet.merge(instance, meter);
     match merged {
-        Merged::Added(key) => log_added(&fleet, key, registry),
-        Merged::Restarted { key, before } => log_restarted(&fleet, key, before, registry),
-        Merged::Draining(key) => start_leaving(&fleet, key, "draining", registry),
-        Merged::Restaged(key) => {
+        MergeOutcome::Added(key) => log_added(&fleet, key, registry),
+        MergeOutcome::Restarted { key, before } => log_restarted(&fleet, key, before, registry),
+        MergeOutcome::Draining(key) => start_leaving(&fleet, key, "draining", registry),
+        MergeOutcome::StageChanged(key) => {
             let Some(u) = fleet.get(key) else { return };
             emit(&Event::StageChanged {
                 upstream: &u.instance.id,
@@ -277,9 +277,9 @@
                 registry,
             });
         }
-        Merged::Changed => {}
-        Merged::Same => return,
-        Merged::Replaced => {
+        MergeOutcome::Changed => {}
+        MergeOutcome::Unchanged => return,
+        MergeOutcome::StaleStart => {
             emit(&Event::UpstreamRowLate {
                 upstream: &id,
                 start: start.map(|Start(ms)| ms),
@@ -287,14 +287,14 @@
             });
             return;
         }
-        Merged::Startless => {
+        MergeOutcome::MissingStart => {
             drop(fleet);
             let why = Unreadable::Start;
             remove_unreadable(gateway, &UnreadableRow { id, row, why }, registry);
             return;
         }
     }
-    gateway.history().note(registry, &id);
+    gateway.history().record(registry, &id);
 }
 
 fn log_added(fleet: &Fleet, key: UpstreamKey, registry: u64) {
@@ -352,6 +352,6 @@
     if let Some(key) = fleet.find(id) {
         start_leaving(&fleet, key, why, registry);
         fleet.remove(key);
-        gateway.history().note(registry, id);
+        gateway.history().record(registry, id);
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -194,17 +194,17 @@
         });
         peer.remove_load(fleet);
         for load in &status.loads {
-            if let Some(upstream) = fleet.find_tag(load.upstream) {
-                upstream.others.add(load);
+            if let Some(upstream) = fleet.get_mut_by_tag(load.upstream) {
+                upstream.peer_load.add(load);
             }
         }
         for changing in &status.changing {
-            if let Some(upstream) = fleet.find_tag(changing.upstream) {
+            if let Some(upstream) = fleet.get_mut_by_tag(changing.upstream) {
                 let left = Duration::from_millis(changing.left_ms.into());
-                upstream.peer_says_changing(now + left, now);
+                upstream.set_changing_by_peer(now + left, now);
             }
         }
-        fleet.take_placements(&status.placements, status.scope != Scope::Direct, now);
+        fleet.merge_placements(&status.placements, status.scope != Scope::Direct, now);
         peer.last_seen_at = Some(now);
         peer.root_probe_since = None;
         peer.backoff_until = None;
@@ -416,8 +416,8 @@
         };
         let had_some = std::mem::take(&mut status.processes) > 0 || !status.loads.is_empty();
         for load in std::mem::take(&mut status.loads) {
-            if let Some(upstream) = fleet.find_tag(load.upstream) {
-                upstream.others.take_off(&load);
+            if let Some(upstream) = fleet.get_mut_by_tag(load.upstream) {
+                upstream.peer_load.subtract(&load);
             }
         }
         had_some
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -5,7 +5,7 @@
 //! registry shows whether applying the changes gave the same result; if not, the whole registry is
 //! fetched.
 
-use crate::fleet::durations::Told;
+use crate::fleet::durations::DurationSnapshot;
 use crate::follow;
 use crate::peers::startup_load::{self, Snapshot};
 use crate::peers::{Member, PeerStatus};
@@ -186,10 +186,10 @@
 
 /// Loads response durations from a peer; returns whether it has any.
 async fn fetch_durations_from(gateway: &Gateway, ip: IpAddr) -> bool {
-    let Some(durations) = fetch::<Vec<Told>>(gateway, ip, DURATIONS_PATH).await else {
+    let Some(durations) = fetch::<Vec<DurationSnapshot>>(gateway, ip, DURATIONS_PATH).await else {
         return false;
     };
-    gateway.fleet().take_durations(&durations, Instant::now());
+    gateway.fleet().merge_durations(&durations, Instant::now());
     !durations.is_empty()
 }
 
@@ -331,7 +331,7 @@
 }
 
 fn encode_durations(gateway: &Gateway) -> Vec<u8> {
-    let durations = gateway.fleet().told_durations(Instant::now());
+    let durations = gateway.fleet().duration_snapshots(Instant::now());
     wire::encode_compact(&durations)
 }
 
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -208,7 +208,7 @@
         view: settled.map_or(0, |r| r.view),
         loads,
         changing: fleet.changing(now),
-        placements: fleet.new_placements(placements_within, now),
+        placements: fleet.recent_placements(placements_within, now),
         crashes: crashes::pending_reports(gateway, now),
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,8 +1,8 @@
-//! Passes an answer on to the client, and goes on elsewhere where that is allowed.
+//! Relays an answer to the client, and resumes a broken stream at another upstream if allowed.
 
 use crate::account::Account;
 use crate::answer::{Outcome, Reason};
-use crate::attempt::{Rest, Started, Tried, tell_failed};
+use crate::attempt::{AttemptResult, BodyRest, StartedAnswer, log_failed_attempt};
 use crate::crashes;
 use crate::crashes::broken::connection_broke;
 use crate::crashes::unanswered;
@@ -17,15 +17,15 @@
 use platform::{RouteKind, header};
 use std::time::{Duration, Instant};
 
-/// Pieces of an answer that wait for a slow client before its upstream does.
-const MAX_AHEAD: usize = 8;
-/// Time after its end in which a stream's bytes are still passed on: those that are on their
-/// way through this process, so that an answer that has just ended is delivered.
-const LAST_BYTES: Duration = Duration::from_millis(10);
+/// Chunks of an answer that are buffered for a slow client before reads from the upstream pause.
+const MAX_BUFFERED_CHUNKS: usize = 8;
+/// Time after the deadline in which buffered bytes are still relayed, so that an answer that has
+/// just ended is delivered.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Answers the client with what an upstream answers.
-pub fn pass_on(call: Call, mut account: Account, started: Started) -> Response<Body> {
-    account.first = Some(account.since.elapsed());
+/// Responds to the client with an upstream's answer.
+pub fn relay_answer(call: Call, mut account: Account, started: StartedAnswer) -> Response<Body> {
+    account.first_byte_after = Some(account.received_at.elapsed());
     account.status = started.status.as_u16();
     let headers = header::to_client(&started.headers);
     let is_framed = is_framed(&started.headers);
@@ -39,10 +39,10 @@
             full(started.first.unwrap_or_default())
         }
         Some(rest) => {
-            let (tx, body) = stream(MAX_AHEAD);
+            let (tx, body) = stream(MAX_BUFFERED_CHUNKS);
             let is_resumable = call.target().route.kind == RouteKind::ResumableStream
                 && started.status.is_success();
-            let pump = Pump {
+            let stream_relay = StreamRelay {
                 _streamed: call.track_stream(),
                 cutter: is_resumable.then(|| EventSplitter::after(call.last_event)),
                 call,
@@ -50,10 +50,10 @@
                 tx,
                 load: started.load,
                 unsent: None,
-                waited: Duration::ZERO,
+                client_wait: Duration::ZERO,
                 is_framed,
             };
-            tokio::spawn(pump.run(started.first, rest));
+            tokio::spawn(stream_relay.run(started.first, rest));
             body
         }
     };
@@ -63,21 +63,21 @@
     res
 }
 
-/// Moves a stream from its upstream to the client.
-struct Pump {
+/// Copies a stream from its upstream to the client.
+struct StreamRelay {
     call: Call,
     account: Account,
     tx: BodySender,
     load: LoadGuard,
-    /// What came of the upstream and waits to be sent.
+    /// Data from the upstream that has yet to be sent.
     unsent: Option<Bytes>,
-    /// How long that has waited for the client in all.
-    waited: Duration,
+    /// Total time spent waiting for the client.
+    client_wait: Duration,
     _streamed: StreamGuard,
-    /// Whether the answer's end shows: one that ends with its connection looks whole also
-    /// when its upstream has crashed.
+    /// Whether the framing marks the answer's end. An answer that ends with its connection looks
+    /// complete even if its upstream has crashed.
     is_framed: bool,
-    /// For streams that may go on elsewhere.
+    /// Present for streams that may be resumed.
     cutter: Option<EventSplitter>,
 }
 
@@ -85,87 +85,87 @@
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// How a stream ended on one side.
-enum End {
-    /// The upstream ended it as whole.
+/// How the copying of a stream ended.
+enum StreamEnd {
+    /// The upstream completed the stream.
     Whole,
-    /// The upstream broke off.
+    /// The upstream broke off the stream.
     Broken(String),
-    /// The client has gone.
-    Gone,
-    /// The route's timeout or the client's deadline is up, or the process ends.
-    TimeOver(Reason),
+    /// The client disconnected.
+    ClientGone,
+    /// The deadline or the timeout passed, or the process ends.
+    TimedOut(Reason),
 }
 
-impl Pump {
-    async fn run(mut self, first: Option<Bytes>, rest: Rest) {
+impl StreamRelay {
+    async fn run(mut self, first: Option<Bytes>, rest: BodyRest) {
         let mut next = Some((first, Some(rest)));
         while let Some((first, rest)) = next.take() {
             let end = match rest {
                 Some(rest) => self.copy(first, rest).await,
-                // It broke off after its last event: nothing is left to come.
-                None => End::Whole,
+                // The stream broke off after its last event, so nothing is missing.
+                None => StreamEnd::Whole,
             };
             match end {
-                End::Whole => {
+                StreamEnd::Whole => {
                     if self.is_framed {
                         crashes::mark_answered(&self.call);
                     }
-                    self.call.record_duration(&self.account, self.waited);
+                    self.call.record_duration(&self.account, self.client_wait);
                     self.tx.finish().await;
                     self.account.close(Outcome::Answered, None);
                     return;
                 }
-                End::Gone => {
+                StreamEnd::ClientGone => {
                     let outcome = self.account.outcome();
                     self.account.close(outcome, Some(Reason::ClientGone));
                     return;
                 }
-                End::TimeOver(why) => {
+                StreamEnd::TimedOut(why) => {
                     unanswered::watch_timed_out(&self.call, &mut self.account);
                     self.account.close(Outcome::BrokenOff, Some(why));
                     return;
                 }
-                End::Broken(why) => next = self.resume(why).await,
+                StreamEnd::Broken(why) => next = self.resume(why).await,
             }
         }
-        // The sender is dropped without an end, so the client sees a broken answer.
+        // The sender is dropped without an end marker, so the client sees a broken answer.
         self.account
             .close(Outcome::BrokenOff, Some(Reason::UpstreamLost));
     }
 
-    /// Copies one upstream's bytes until they end or the time is up.
-    async fn copy(&mut self, first: Option<Bytes>, mut rest: Rest) -> End {
-        let over = self.call.wait_for_timeout(AnswerProgress::Started);
+    /// Copies the bytes of one upstream until they end or the time is up.
+    async fn copy(&mut self, first: Option<Bytes>, mut rest: BodyRest) -> StreamEnd {
+        let time_over = self.call.wait_for_timeout(AnswerProgress::Started);
         self.unsent = match first.map(|data| self.cut(data)) {
             None => None,
             Some(Ok(data)) => Some(data),
             Some(Err(end)) => return end,
         };
         let end = tokio::select! {
-            // First what has arrived: an answer that is there is delivered.
+            // Data that has arrived takes precedence, so that a completed answer is delivered.
             biased;
-            end = self.copy_untimed(&mut rest) => end,
-            why = over => {
-                let last = self.copy_untimed(&mut rest);
-                let last = tokio::time::timeout(LAST_BYTES, last).await;
-                match last {
-                    Ok(end @ (End::Whole | End::Gone)) => end,
-                    // Upstreams break off at the same deadline: that is no reason to ask
-                    // another.
-                    Ok(_) | Err(_) => End::TimeOver(why),
+            end = self.copy_until_end(&mut rest) => end,
+            why = time_over => {
+                let drained = self.copy_until_end(&mut rest);
+                let drained = tokio::time::timeout(DRAIN_TIMEOUT, drained).await;
+                match drained {
+                    Ok(end @ (StreamEnd::Whole | StreamEnd::ClientGone)) => end,
+                    // Upstreams break off at the same deadline, which is no reason to try another
+                    // one.
+                    Ok(_) | Err(_) => StreamEnd::TimedOut(why),
                 }
             }
         };
-        if matches!(end, End::Whole) {
-            rest.done();
+        if matches!(end, StreamEnd::Whole) {
+            rest.finish();
         }
         end
     }
 
-    /// Copies an upstream's bytes until they end. Dropped midway, it goes on where it was
-    /// when it is called again.
-    async fn copy_untimed(&mut self, rest: &mut Rest) -> End {
+    /// Copies the bytes of an upstream until they end. Cancellation-safe: another call continues
+    /// where a dropped one stopped.
+    async fn copy_until_end(&mut self, rest: &mut BodyRest) -> StreamEnd {
         loop {
             if let Err(end) = self.send_unsent().await {
                 return end;
@@ -173,15 +173,15 @@
             let frame = tokio::select! {
                 biased;
                 frame = rest.body.frame() => frame,
-                () = self.tx.closed() => return End::Gone,
+                () = self.tx.closed() => return StreamEnd::ClientGone,
             };
             match frame {
                 None => break,
-                Some(Err(e)) => return End::Broken(e.to_string()),
+                Some(Err(e)) => return StreamEnd::Broken(e.to_string()),
                 Some(Ok(frame)) => match frame.into_data().map(|data| self.cut(data)) {
                     Ok(Ok(data)) => self.unsent = Some(data),
                     Ok(Err(end)) => return end,
-                    // Trailers mean nothing to the client.
+                    // Trailers are not relayed.
                     Err(_) => {}
                 },
             }
@@ -191,39 +191,42 @@
             .as_ref()
             .is_some_and(EventSplitter::is_mid_event)
         {
-            return End::Broken("ended in the middle of an event".into());
+            return StreamEnd::Broken("ended in the middle of an event".into());
         }
-        End::Whole
+        StreamEnd::Whole
     }
 
-    /// What the client gets of an upstream's bytes: of a stream that may go on elsewhere
-    /// whole events only.
-    fn cut(&mut self, data: Bytes) -> Result<Bytes, End> {
+    /// Converts data from the upstream to data for the client: only whole events of a stream that
+    /// may be resumed, anything else unchanged.
+    fn cut(&mut self, data: Bytes) -> Result<Bytes, StreamEnd> {
         match &mut self.cutter {
             Some(cutter) => cutter
                 .push(&data)
-                .map_err(|e| End::Broken(format!("malformed stream: {e:?}"))),
+                .map_err(|e| StreamEnd::Broken(format!("malformed stream: {e:?}"))),
             None => Ok(data),
         }
     }
 
-    /// Sends the client what it hasn't got yet. A client that stops reading must not hold
-    /// its upstream's slot, so this may be dropped while it waits.
-    async fn send_unsent(&mut self) -> Result<(), End> {
+    /// Sends the pending data to the client. This waits for a slow client and may be cancelled,
+    /// as such a client must not hold the upstream's slot.
+    async fn send_unsent(&mut self) -> Result<(), StreamEnd> {
         if let Some(data) = self.unsent.clone().filter(|data| !data.is_empty()) {
             let since = Instant::now();
-            self.tx.send(data).await.map_err(|_| End::Gone)?;
-            self.waited += since.elapsed();
+            self.tx
+                .send(data)
+                .await
+                .map_err(|_| StreamEnd::ClientGone)?;
+            self.client_wait += since.elapsed();
         }
         self.unsent = None;
         Ok(())
     }
 
-    /// Goes on at another upstream after the last event that was passed on; none
-    /// if that isn't allowed or doesn't come about.
-    async fn resume(&mut self, why: String) -> Option<(Option<Bytes>, Option<Rest>)> {
-        let elapsed = self.account.since.elapsed();
-        tell_failed(&self.account, Outcome::BrokenOff.name(), &why, elapsed);
+    /// Resumes the stream at another upstream after the last event that was relayed; `None` if
+    /// that is not allowed or fails.
+    async fn resume(&mut self, why: String) -> Option<(Option<Bytes>, Option<BodyRest>)> {
+        let elapsed = self.account.received_at.elapsed();
+        log_failed_attempt(&self.account, Outcome::BrokenOff.name(), &why, elapsed);
         connection_broke(&self.call, &mut self.account);
         let cutter = self.cutter.as_ref()?;
         self.call.last_event = cutter.last_id().or(self.call.last_event);
@@ -232,7 +235,7 @@
             tried = self.call.resume_stream(&mut self.account) => tried,
             () = self.tx.closed() => return None,
         };
-        let Tried::Started(started) = tried? else {
+        let AttemptResult::Started(started) = tried? else {
             return None;
         };
         let started = *started;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -9,12 +9,12 @@
 
 use crate::account::Account;
 use crate::answer::Reason;
-use crate::attempt::{self, NotRun, Tried, attempt};
-use crate::choose::{Choice, Need, Plan, choose};
+use crate::attempt::{self, AttemptResult, NotRun, attempt};
+use crate::choose::{Choice, Plan, Requirements, choose};
 use crate::crashes::{self, Admission, fingerprint, unanswered};
 use crate::fleet::{ServiceKey, UpstreamKey};
 use crate::relay;
-use crate::routes::{Caller, RouteTable, Target};
+use crate::routes::{Caller, ResolvedRoute, RouteTable};
 use crate::state::Gateway;
 use bytes::Bytes;
 use hyper::body::{Body as _, Incoming as IncomingBody};
@@ -64,7 +64,7 @@
     service: ServiceKey,
     tried: Vec<UpstreamKey>,
     /// Failure response of an upstream, kept while another upstream is tried.
-    failure: Option<Box<attempt::Started>>,
+    failure: Option<Box<attempt::StartedAnswer>>,
     fingerprint: OnceLock<Fingerprint>,
 }
 
@@ -81,7 +81,7 @@
     let mut account = Account::open(&gateway, &incoming.id, since);
     match receive(gateway, incoming, head, body, &mut account).await {
         Ok(mut call) => match call.run(&mut account).await {
-            Ok(started) => relay::pass_on(call, account, started),
+            Ok(started) => relay::relay_answer(call, account, started),
             Err(refusal) => {
                 crashes::return_unused_trial(&call, &account);
                 refusal::refuse(account, refusal)
@@ -100,7 +100,7 @@
     account: &mut Account,
 ) -> Result<Call, Refusal> {
     let table = gateway.routes().ok_or(Reason::NoConfig)?;
-    account.config = table.version;
+    account.config_version = table.version;
     let target = table
         .find(&incoming.host, head.uri.path())
         .ok_or(Reason::NoRoute)?;
@@ -108,8 +108,8 @@
     let caller = caller::authenticate(&gateway, &table, target, &incoming, account)?;
     let acquired = caller::acquire_quota(&gateway, &table, caller, &incoming, account);
     account.grant = acquired.await?;
-    let time_left = target.left(incoming.deadline, account.since.elapsed());
-    let service = target.draw().ok_or(Reason::NoUpstream)?;
+    let time_left = target.time_left(incoming.deadline, account.received_at.elapsed());
+    let service = target.pick_service().ok_or(Reason::NoUpstream)?;
     let is_engine = {
         let fleet = gateway.fleet();
         let info = fleet.info(service);
@@ -134,7 +134,7 @@
         }
     };
     Ok(Call {
-        since: account.since,
+        since: account.received_at,
         last_event: incoming.last_event,
         method: head.method,
         path: path_and_query(&head.uri),
@@ -176,7 +176,7 @@
 
 impl Call {
     /// Route of the request.
-    pub fn target(&self) -> &Target {
+    pub fn target(&self) -> &ResolvedRoute {
         // NB: the table doesn't change, so the lookup succeeds again.
         self.table
             .find(&self.incoming.host, self.path.path())
@@ -189,24 +189,24 @@
         *self.fingerprint.get_or_init(|| fingerprint(self))
     }
 
-    fn need(&self, account: &Account) -> Need<'_> {
+    fn need(&self, account: &Account) -> Requirements<'_> {
         let route = &self.target().route;
         let is_retry = account.attempts > 0;
-        Need {
+        Requirements {
             service: self.service,
             parts: &self.incoming.parts,
             prompt_tokens: self.incoming.prompt_tokens,
             max_output_tokens: self.incoming.max_output_tokens,
-            target: route.target_latency,
-            is_rest: is_retry && self.last_event.is_some(),
-            is_alone: false,
+            latency_target: route.target_latency,
+            is_resumed: is_retry && self.last_event.is_some(),
+            is_isolated: false,
             tried: &self.tried,
         }
     }
 
     /// Tries upstreams until one starts to answer, or returns the reason for a refusal. An
     /// upstream's own failure response is returned if no other upstream does better.
-    async fn run(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
+    async fn run(&mut self, account: &mut Account) -> Result<attempt::StartedAnswer, Refusal> {
         let timeout = self.wait_for_timeout(AnswerProgress::Pending);
         let outcome = tokio::select! {
             biased;
@@ -222,7 +222,10 @@
         }
     }
 
-    async fn run_attempts(&mut self, account: &mut Account) -> Result<attempt::Started, Refusal> {
+    async fn run_attempts(
+        &mut self,
+        account: &mut Account,
+    ) -> Result<attempt::StartedAnswer, Refusal> {
         let mut last = Refusal::from(Reason::NoUpstream);
         // Whether the next attempt has already been taken from the retry budget.
         let mut is_retry_spent = false;
@@ -235,8 +238,8 @@
             if is_retry && !self.acquire_retry(account) {
                 return Err(last);
             }
-            let need = Need {
-                is_alone: admission == Admission::Quarantined,
+            let need = Requirements {
+                is_isolated: admission == Admission::Quarantined,
                 ..self.need(account)
             };
             let plan = match choose(&self.gateway, &need) {
@@ -254,9 +257,9 @@
                 .attempt_with_timeout(account, &plan, &mut is_retry_spent)
                 .await;
             self.tried
-                .push(account.tried.map_or(plan.key, |sent| sent.key));
+                .push(account.last_sent_to.map_or(plan.key, |sent| sent.key));
             match tried {
-                Tried::Started(started) => {
+                AttemptResult::Started(started) => {
                     let may_repeat = self.target().route.kind.is_repeatable();
                     if !started.status.is_server_error() || !may_repeat {
                         return Ok(*started);
@@ -269,15 +272,15 @@
                     // A response that is still incomplete would hold its connection.
                     self.failure = Some(started).filter(|s| s.rest.is_none());
                 }
-                Tried::NotRun(NotRun::NotSent | NotRun::NoPrefill) => {
+                AttemptResult::NotRun(NotRun::NotSent | NotRun::PrefillFailed) => {
                     if self.tried.len() >= MAX_UNSENT_UPSTREAMS {
                         return Err(last);
                     }
                 }
-                Tried::NotRun(NotRun::NoTime) => return Err(Reason::Stopping.into()),
-                Tried::NotRun(NotRun::Held(why)) => return Err(why.into()),
-                Tried::NotRun(NotRun::Rejected) => last = Reason::Rejected.into(),
-                Tried::Unknown(_) => {
+                AttemptResult::NotRun(NotRun::NoTime) => return Err(Reason::Stopping.into()),
+                AttemptResult::NotRun(NotRun::Held(why)) => return Err(why.into()),
+                AttemptResult::NotRun(NotRun::Rejected) => last = Reason::Rejected.into(),
+                AttemptResult::Unknown(_) => {
                     last = Reason::UpstreamLost.into();
                     if !self.target().route.kind.is_repeatable() {
                         return Err(last);
@@ -295,7 +298,7 @@
         account: &mut Account,
         plan: &Plan,
         is_retry_spent: &mut bool,
-    ) -> Tried {
+    ) -> AttemptResult {
         let route = &self.target().route;
         let attempts = account.attempts;
         let may_switch = || {
@@ -323,10 +326,10 @@
         *is_retry_spent = true;
         unanswered::watch_timed_out(self, account);
         account.attempts += 1;
-        attempt::failed(&self.gateway, plan, attempt::LOST_WEIGHT);
+        attempt::record_failure(&self.gateway, plan, attempt::CONNECTION_FAILURE_WEIGHT);
         let why = "no first byte in time";
-        attempt::tell_failed(account, "unknown", why, first_byte_timeout);
-        Tried::Unknown(why.to_owned())
+        attempt::log_failed_attempt(account, "unknown", why, first_byte_timeout);
+        AttemptResult::Unknown(why.to_owned())
     }
 
     /// Whether the request may be sent to another upstream; if so, takes a retry from the budget.
@@ -341,15 +344,15 @@
     }
 
     /// Requests the rest of a broken stream from another upstream; `None` if that isn't allowed.
-    pub async fn resume_stream(&mut self, account: &mut Account) -> Option<Tried> {
+    pub async fn resume_stream(&mut self, account: &mut Account) -> Option<AttemptResult> {
         // The upstream that broke off has probably crashed.
-        self.tried.extend(account.tried.map(|sent| sent.key));
+        self.tried.extend(account.last_sent_to.map(|sent| sent.key));
         let admission = crashes::admit(self, account).await;
         if matches!(admission, Admission::Rejected(_)) || !self.acquire_retry(account) {
             return None;
         }
-        let need = Need {
-            is_alone: admission == Admission::Quarantined,
+        let need = Requirements {
+            is_isolated: admission == Admission::Quarantined,
             ..self.need(account)
         };
         let Choice::Send(plan) = choose(&self.gateway, &need) else {
--- a/crates/gateway/src/serve/time.rs
+++ b/crates/gateway/src/serve/time.rs
@@ -60,7 +60,7 @@
     /// Time left by the client's deadline and the route's timeout.
     fn own_time_left(&self) -> Duration {
         let elapsed = self.since.elapsed();
-        self.target().left(self.incoming.deadline, elapsed)
+        self.target().time_left(self.incoming.deadline, elapsed)
     }
 
     /// Time left for an upstream: the request's own, limited by the process's shutdown.
@@ -87,7 +87,7 @@
         let longest = {
             let fleet = self.gateway.fleet();
             let durations = fleet.info(self.service).durations();
-            durations.longest(self.length(), now)
+            durations.upper_bound(self.length(), now)
         };
         // A request whose own timeout is earlier isn't limited by the process.
         let estimate = match self.is_engine {
@@ -121,7 +121,7 @@
         match self.is_engine {
             true => Length::Tokens {
                 expected: self.incoming.expected_tokens(),
-                most: self.incoming.max_output_tokens,
+                max: self.incoming.max_output_tokens,
             },
             false => Length::Plain {
                 route: xxhash_rust::xxh3::xxh3_64(self.target().route.name.as_bytes()),
@@ -142,7 +142,7 @@
         let mut fleet = self.gateway.fleet();
         let durations = fleet.durations_mut(self.service);
         let took = took.saturating_sub(estimate);
-        durations.note(self.length(), took, Instant::now());
+        durations.record(self.length(), took, Instant::now());
     }
 
     /// Counts the answer as being streamed until the guard is dropped.
