--- a/crates/agent/src/claims/batch.rs
+++ b/crates/agent/src/claims/batch.rs
@@ -99,7 +99,7 @@
                 return;
             }
             // A missing row is inconclusive, since the write may still be applied.
-            tokio::time::sleep(backoff.wait()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
         }
         for item in batch {
             self.give_up(item);
@@ -288,7 +288,7 @@
                 finished.retain(|(held, _)| conflicts.iter().all(|c| c.key != held.key));
             }
             Err(WriteError::Unavailable(_) | WriteError::Unknown(_)) => {
-                tokio::time::sleep(backoff.wait()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
         }
     }
@@ -316,7 +316,7 @@
                 }
             }
             Err(WriteError::Unavailable(_) | WriteError::Unknown(_)) => {
-                tokio::time::sleep(backoff.wait()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/crates/agent/src/complete.rs
+++ b/crates/agent/src/complete.rs
@@ -1,9 +1,9 @@
 //! Runs completions on the engine.
 
 use crate::attempt::{Attempt, AttemptResult};
-use engine::client::Token;
-use engine::dialect::CompletionBody;
-use engine::{EngineError, Stream};
+use engine::client::CompletionEvent;
+use engine::protocol::CompletionBody;
+use engine::{CompletionStream, EngineError};
 use net::CallError;
 use std::time::Instant;
 use wire::{Completion, Part, Reason, Refusal, prefix};
@@ -61,21 +61,23 @@
 async fn forward_tokens(
     attempt: &mut Attempt<'_>,
     c: &Completion,
-    stream: &mut Stream,
+    stream: &mut CompletionStream,
 ) -> AttemptResult {
     let idle = attempt.agent.node.settings.limits.idle_timeout;
     let mut count = c.resume_from;
     loop {
         match tokio::time::timeout(idle, stream.next()).await {
-            Ok(Ok(Token::Text(text))) => {
+            Ok(Ok(CompletionEvent::Text(text))) => {
                 attempt.record_first_byte();
                 count += 1;
                 if attempt.frames.send(Part::Token(text)).await.is_err() {
                     return AttemptResult::EntryGone;
                 }
             }
-            Ok(Ok(Token::End(n))) if n == count => return AttemptResult::Answered(u64::from(n)),
-            Ok(Ok(Token::End(_))) => return broken(attempt, "token count mismatch"),
+            Ok(Ok(CompletionEvent::End(n))) if n == count => {
+                return AttemptResult::Answered(u64::from(n));
+            }
+            Ok(Ok(CompletionEvent::End(_))) => return broken(attempt, "token count mismatch"),
             Ok(Err(e)) => return broken(attempt, &e.to_string()),
             Err(_) => return broken(attempt, "timed out waiting for a token"),
         }
--- a/crates/agent/src/frames.rs
+++ b/crates/agent/src/frames.rs
@@ -1,7 +1,7 @@
 //! Sends the frames of a response to the entry.
 
 use net::BodySender;
-use net::body::{Gone, Watcher};
+use net::body::{ReceiverClosed, Watcher};
 use std::time::Duration;
 use wire::{Frame, Part, Refusal, RequestId};
 
@@ -27,7 +27,7 @@
     }
 
     /// Sends a frame. Waits while the buffer is full.
-    pub async fn send(&mut self, part: Part) -> Result<(), Gone> {
+    pub async fn send(&mut self, part: Part) -> Result<(), ReceiverClosed> {
         let frame = Frame {
             request: self.request,
             index: self.next_index,
@@ -37,7 +37,7 @@
         let send = self.tx.send(frame.encode());
         tokio::time::timeout(self.send_timeout, send)
             .await
-            .unwrap_or(Err(Gone))
+            .unwrap_or(Err(ReceiverClosed))
     }
 
     /// Sends a refusal and ends the response.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -24,7 +24,7 @@
 use observe::{Event, emit};
 use state::Agent;
 use std::sync::Arc;
-use store::poll::AlsoRows;
+use store::poll::ExtraRows;
 use store::rows::desired_key;
 use tokio::sync::watch;
 
@@ -37,7 +37,7 @@
         return Err(StartError::Settings("an agent serves exactly one service"));
     };
     let (tx, desired) = watch::channel(Vec::new());
-    let also = AlsoRows {
+    let also = ExtraRows {
         keys: vec![desired_key(service, &upstream.name)],
         tx,
     };
@@ -70,7 +70,7 @@
     drain(&agent, &serving).await;
     // The server task ends after its last connection. All requests have ended at this point, but a
     // peer that is paused or disconnected might never read its last frames, so the wait is bounded.
-    let _ = tokio::time::timeout(node.last_answers(), server).await;
+    let _ = tokio::time::timeout(node.final_responses_timeout(), server).await;
     node.close_records().await;
     Ok(())
 }
@@ -83,8 +83,8 @@
     agent.begin_stop();
     let node = &agent.node;
     node.begin_stop(node.settings.limits.drain_bound);
-    let unfinished = node.drained(std::future::ready(())).await;
-    agent.claims.flush(node.last_answers()).await;
+    let unfinished = node.drain(std::future::ready(())).await;
+    agent.claims.flush(node.final_responses_timeout()).await;
     serving.stop();
     emit(&Event::Stopped { unfinished });
 }
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -14,7 +14,7 @@
 use observe::{Event, emit};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::retry::around;
+use store::retry::jittered_interval;
 use store::rows::{Desired, decode};
 use store::{InForce, Row};
 use tokio::sync::watch;
@@ -40,7 +40,7 @@
         // An earlier agent may have left an order in flight.
         may_be_in_flight: true,
     };
-    let mut changed = agent.node.documents.watch();
+    let mut changed = agent.node.documents.subscribe();
     let mut events = 0;
     loop {
         if let Some(doc) = agent.doc() {
@@ -56,7 +56,7 @@
         }
         // Reconciles after the poll interval, or earlier if the row or a document has changed.
         tokio::select! {
-            () = tokio::time::sleep(around(POLL_INTERVAL)) => {}
+            () = tokio::time::sleep(jittered_interval(POLL_INTERVAL)) => {}
             _ = desired.changed() => {}
             _ = changed.changed() => {}
         }
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -48,7 +48,7 @@
     let Some(p) = decode::<Probe>(body) else {
         return status_response(StatusCode::BAD_REQUEST);
     };
-    agent.node.documents.heard(&p.service, p.doc_version);
+    agent.node.documents.note_version(&p.service, p.doc_version);
     let answer = ProbeAnswer {
         state: agent.state(),
         wait_ms: expected_first_byte_ms(agent, &p),
@@ -62,7 +62,7 @@
 /// Expected time until the first byte of the response to the probed request, in milliseconds.
 fn expected_first_byte_ms(agent: &Agent, p: &Probe) -> u64 {
     let Some(doc) = agent.doc() else { return 0 };
-    let Some(id) = doc.doc.class_named(&p.class) else {
+    let Some(id) = doc.doc.class_by_name(&p.class) else {
         return 0;
     };
     let class = doc.doc.class(id);
--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Request};
-use net::h1::Answer;
+use net::h1::PooledResponse;
 use net::{Body, CallError, full};
 use observe::log_line::now_ms;
 use std::time::{Duration, Instant};
@@ -180,7 +180,7 @@
     let response = async {
         // Always uses a new connection. If the upstream closed a kept connection at this moment, it
         // would be unknown whether it received the call.
-        let answer = attempt.agent.plain.send_fresh(req).await?;
+        let answer = attempt.agent.plain.send_on_new(req).await?;
         read_response(answer, limits.body).await
     };
     let response = match tokio::time::timeout(limits.idle_timeout, response).await {
@@ -194,7 +194,10 @@
     Ok(response)
 }
 
-async fn read_response(mut answer: Answer, limit: usize) -> Result<UpstreamResponse, CallError> {
+async fn read_response(
+    mut answer: PooledResponse,
+    limit: usize,
+) -> Result<UpstreamResponse, CallError> {
     let head = &answer.response;
     let status = head.status().as_u16();
     let content_type = head
--- a/crates/agent/src/prefixes.rs
+++ b/crates/agent/src/prefixes.rs
@@ -4,7 +4,7 @@
 //! arrive, which are late and may have gaps. The events remove evicted prefixes and add what the
 //! agent couldn't see. A wrong guess only costs time.
 
-use engine::dialect::CacheEvents;
+use engine::protocol::CacheEvents;
 use std::collections::VecDeque;
 use std::sync::Mutex;
 use wire::prefix;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -8,7 +8,7 @@
 use crate::state::Agent;
 use net::BodySender;
 use observe::log_line::now_ms;
-use observe::{Labels, Seconds};
+use observe::{Labels, Latency};
 use records::{Record, Side};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,12 +27,12 @@
 
 /// Serves an attempt in its own task.
 pub async fn serve(agent: Arc<Agent>, cx: RequestContext, call: Call, tx: BodySender) {
-    let _running = agent.node.begin();
+    let _running = agent.node.begin_request();
     let received_at = Instant::now();
     let mut frames = FrameSender::new(tx, cx.request, agent.node.settings.limits.idle_timeout);
     let mut times = AttemptTimes::default();
     let result = match check_request(&agent, &cx).await {
-        Ok(doc) => match doc.doc.class_named(&cx.class) {
+        Ok(doc) => match doc.doc.class_by_name(&cx.class) {
             Some(id) => {
                 let class = doc.doc.class(id);
                 let (doc, frames, times) = (&doc, &mut frames, &mut times);
@@ -95,10 +95,10 @@
         return Err(Refusal::not_run(Reason::UnknownService));
     }
     let documents = &agent.node.documents;
-    documents.heard(&cx.service, cx.doc_version);
+    documents.note_version(&cx.service, cx.doc_version);
     // Nothing runs until the document version used by the entry is in force here too.
     if !documents
-        .reach(&cx.service, cx.doc_version, MAX_DOC_WAIT)
+        .wait_for_version(&cx.service, cx.doc_version, MAX_DOC_WAIT)
         .await
     {
         return Err(Refusal::not_run(Reason::NotReady));
@@ -107,7 +107,7 @@
     agent
         .node
         .leaving
-        .looked_since_pause(MAX_HOST_LIST_WAIT)
+        .wait_for_poll_after_pause(MAX_HOST_LIST_WAIT)
         .await;
     match agent.state() {
         AgentState::Ready => agent.doc().ok_or(Refusal::not_run(Reason::NotReady)),
@@ -148,7 +148,7 @@
         // A non-idempotent call continues without its caller, as its response is stored for a
         // repeat of the key.
         () = entry_gone.closed(), if is_idempotent => AttemptResult::EntryGone,
-        () = node.ended() => AttemptResult::Refused(Refusal::unknown(Reason::ProcessEnds)),
+        () = node.drain_ended() => AttemptResult::Refused(Refusal::unknown(Reason::ProcessEnds)),
     };
     drop(slot);
     result
@@ -209,11 +209,11 @@
     };
     let metrics = &agent.node.metrics;
     let reason_text = reason.map(|r| r.to_string()).unwrap_or_default();
-    metrics.count(labels, &outcome.to_string(), &reason_text);
-    metrics.time(labels, Seconds::Queue, times.queue.as_secs_f64());
-    metrics.time(labels, Seconds::Total, total.as_secs_f64());
+    metrics.count_request(labels, &outcome.to_string(), &reason_text);
+    metrics.observe_latency(labels, Latency::Queue, times.queue.as_secs_f64());
+    metrics.observe_latency(labels, Latency::Total, total.as_secs_f64());
     if let Some(first) = times.first_byte {
-        metrics.time(labels, Seconds::First, first.as_secs_f64());
+        metrics.observe_latency(labels, Latency::FirstByte, first.as_secs_f64());
     }
     agent.node.recorder.record(Record {
         request: cx.request,
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -92,7 +92,7 @@
 
     /// The upstream of this agent in a document, if it is listed there.
     pub fn upstream_in<'a>(&self, doc: &'a Doc) -> Option<&'a Upstream> {
-        Some(doc.upstream(doc.upstream_named(&self.upstream)?))
+        Some(doc.upstream(doc.upstream_by_name(&self.upstream)?))
     }
 
     /// Stops admitting requests, permanently.
--- a/crates/arbutusquay/src/commands.rs
+++ b/crates/arbutusquay/src/commands.rs
@@ -34,7 +34,7 @@
     Ok(HttpPlatform::new(&settings(path)?.platform))
 }
 
-fn print_faults(path: &Path, faults: &conf::Faults) {
+fn print_faults(path: &Path, faults: &conf::ParseErrors) {
     for fault in faults.all() {
         eprintln!("{}:{fault}", path.display());
     }
--- a/crates/arbutusquay/tests/path.rs
+++ b/crates/arbutusquay/tests/path.rs
@@ -327,7 +327,7 @@
     let engine = bed.engine(0);
     let pool = Pool::new(bed.site.entries[0].addr, Duration::from_secs(5));
     let mut answer = pool
-        .send_fresh(request(&reply("endless", 30_000)))
+        .send_on_new(request(&reply("endless", 30_000)))
         .await
         .unwrap();
     answer.response.body_mut().frame().await.unwrap().unwrap();
@@ -340,7 +340,7 @@
         delay_ms: 300,
         ..Faults::default()
     });
-    let begun = tokio::spawn(async move { pool.send_fresh(request(&notice("gone", "x"))).await });
+    let begun = tokio::spawn(async move { pool.send_on_new(request(&notice("gone", "x"))).await });
     let table = bed.site.table.clone();
     let claimed = || {
         table
--- a/crates/arbutusquay/tests/stopping.rs
+++ b/crates/arbutusquay/tests/stopping.rs
@@ -165,7 +165,7 @@
     let pool = net::Pool::new(addr, Duration::from_secs(5));
     let answer = || async {
         let req = bench::caller::request(&reply("short", 3));
-        let answer = pool.send_fresh(req).await.unwrap();
+        let answer = pool.send_on_new(req).await.unwrap();
         answer.response.headers().get("connection").cloned()
     };
     assert_eq!(answer().await, None);
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -7,7 +7,7 @@
 use fakes::serve::NONSENSE;
 use http_body_util::BodyExt;
 use hyper::{Request, Response, StatusCode};
-use net::h1::Answer;
+use net::h1::PooledResponse;
 use net::{Body, Pool, full};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -128,7 +128,7 @@
 
     async fn exchange(&self, sent: &mut Sent, since: Instant) {
         // A new connection for each, so that a break is never one of an idle one.
-        let mut answer = match self.pool.send_fresh(request(&sent.ask)).await {
+        let mut answer = match self.pool.send_on_new(request(&sent.ask)).await {
             Ok(answer) => answer,
             Err(e) => {
                 sent.got = Got::Nothing(e.to_string());
@@ -281,7 +281,7 @@
     }
 }
 
-async fn read_stream(answer: &mut Answer, sent: &mut Sent, since: Instant) -> Got {
+async fn read_stream(answer: &mut PooledResponse, sent: &mut Sent, since: Instant) -> Got {
     let mut events = EventReader::default();
     let mut text = String::new();
     let mut last: Option<Instant> = None;
--- a/crates/bench/src/gather.rs
+++ b/crates/bench/src/gather.rs
@@ -29,7 +29,7 @@
                 let doc = site.docs.iter().find(|d| d.service == w.service);
                 for r in p.history() {
                     let (method, path) = r.call.split_once(' ').unwrap_or(("", ""));
-                    let class = doc.and_then(|d| Some(d.class(d.class_routed(method, path)?)));
+                    let class = doc.and_then(|d| Some(d.class(d.class_by_route(method, path)?)));
                     h.runs.push(RunSeen {
                         upstream: name.clone(),
                         service: w.service.clone(),
--- a/crates/bench/src/judge.rs
+++ b/crates/bench/src/judge.rs
@@ -80,7 +80,7 @@
 
 fn is_late(s: &Sent, docs: &[Doc]) -> bool {
     let doc = docs.iter().find(|d| d.service == s.ask.service);
-    let class = doc.and_then(|d| Some(d.class(d.class_named(s.ask.class)?)));
+    let class = doc.and_then(|d| Some(d.class(d.class_by_name(s.ask.class)?)));
     class
         .zip(s.first)
         .is_some_and(|(c, first)| first > c.deadline)
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -11,8 +11,8 @@
 use crate::site::{Options, Site};
 use crate::usage;
 use conf::{Doc, Kind};
-use engine::client::Token;
-use engine::dialect::CompletionBody;
+use engine::client::CompletionEvent;
+use engine::protocol::CompletionBody;
 use fakes::engine::Rates;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -304,12 +304,12 @@
     let (mut first, mut last, mut gaps) = (None, None, Vec::new());
     loop {
         match stream.next().await.ok()? {
-            Token::Text(_) => {
+            CompletionEvent::Text(_) => {
                 let now = Instant::now();
                 first.get_or_insert(now - since);
                 gaps.extend(last.replace(now).map(|l| now - l));
             }
-            Token::End(_) => {
+            CompletionEvent::End(_) => {
                 return Some(Straight {
                     first: first?,
                     gaps,
--- a/crates/conf/src/doc.rs
+++ b/crates/conf/src/doc.rs
@@ -7,7 +7,7 @@
 
 mod read;
 
-use crate::fault::Faults;
+use crate::error::ParseErrors;
 use crate::yaml;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -122,18 +122,18 @@
 
 impl Doc {
     /// Reads and checks a document's text; all faults come at once.
-    pub fn parse(text: &str) -> Result<Self, Faults> {
+    pub fn parse(text: &str) -> Result<Self, ParseErrors> {
         yaml::load(text, read::doc)
     }
 
     /// Finds a class by name.
-    pub fn class_named(&self, name: &str) -> Option<ClassId> {
+    pub fn class_by_name(&self, name: &str) -> Option<ClassId> {
         let at = self.classes.iter().position(|c| c.name == name)?;
         Some(ClassId(at as u8))
     }
 
     /// Finds the class that owns a call by its method and path.
-    pub fn class_routed(&self, method: &str, path: &str) -> Option<ClassId> {
+    pub fn class_by_route(&self, method: &str, path: &str) -> Option<ClassId> {
         let owns = |r: &Route| r.method == method && path.starts_with(r.path.as_str());
         let at = self
             .classes
@@ -153,7 +153,7 @@
     }
 
     /// Finds an upstream by name.
-    pub fn upstream_named(&self, name: &str) -> Option<UpstreamId> {
+    pub fn upstream_by_name(&self, name: &str) -> Option<UpstreamId> {
         let at = self
             .upstreams
             .binary_search_by(|u| u.name.as_str().cmp(name))
--- a/crates/conf/src/doc/read.rs
+++ b/crates/conf/src/doc/read.rs
@@ -1,7 +1,7 @@
 //! Reading a document, and the checks that go over several fields.
 
 use super::{Class, Doc, Kind, MAX_URGENCY, Model, Route, TenantLimits, Upstream};
-use crate::fault::Faults;
+use crate::error::ParseErrors;
 use crate::yaml::{self, Fields};
 use marked_yaml::Node;
 use std::net::SocketAddr;
@@ -12,45 +12,52 @@
 /// Most upstreams in one document.
 const MAX_UPSTREAMS: usize = 1024;
 /// Sum of the classes' shares may pass 1 by this, for rounding.
-const SHARE_SLACK: f64 = 1e-9;
+const SHARE_TOLERANCE: f64 = 1e-9;
 
 /// Reads a document's fields and checks how they go together.
-pub fn doc(node: &Node, cx: &mut Faults) -> Option<Doc> {
-    let mut f = Fields::open(node, cx)?;
-    let service = f.need("service", yaml::name, cx);
-    let kind = f.need("kind", kind_word, cx);
-    let model = f.may("model", model, cx);
-    let share = f.need("share", yaml::share, cx);
-    let calm = f.may("calm", yaml::weight, cx);
-    let fencing = f.may("fencing", yaml::flag, cx);
-    let drain_bound = f.need("drain_bound", yaml::duration, cx);
-    let classes = f.need("classes", |n, cx| yaml::list(n, cx, class), cx);
-    let tenants = f.need("tenants", tenant_limits, cx);
-    let upstreams = f.need("upstreams", |n, cx| yaml::list(n, cx, upstream), cx);
+pub fn doc(node: &Node, errors: &mut ParseErrors) -> Option<Doc> {
+    let mut f = Fields::open(node, errors)?;
+    let service = f.required("service", yaml::name, errors);
+    let kind = f.required("kind", kind_name, errors);
+    let model = f.optional("model", model, errors);
+    let share = f.required("share", yaml::share, errors);
+    let calm = f.optional("calm", yaml::weight, errors);
+    let fencing = f.optional("fencing", yaml::flag, errors);
+    let drain_bound = f.required("drain_bound", yaml::duration, errors);
+    let classes = f.required("classes", |n, errors| yaml::list(n, errors, class), errors);
+    let tenants = f.required("tenants", tenant_limits, errors);
+    let upstreams = f.required(
+        "upstreams",
+        |n, errors| yaml::list(n, errors, upstream),
+        errors,
+    );
     let kind = match (kind, model) {
-        (Some(KindWord::Engine), Some(m)) => Some(Kind::Engine(m)),
-        (Some(KindWord::Engine), None) => {
-            cx.add(f.place(), "kind `engine` needs the field `model`");
+        (Some(KindName::Engine), Some(m)) => Some(Kind::Engine(m)),
+        (Some(KindName::Engine), None) => {
+            errors.add(f.position(), "kind `engine` needs the field `model`");
             None
         }
-        (Some(KindWord::Plain), Some(_)) => {
-            cx.add(f.place_of("model"), "kind `plain` takes no field `model`");
+        (Some(KindName::Plain), Some(_)) => {
+            errors.add(
+                f.position_of("model"),
+                "kind `plain` takes no field `model`",
+            );
             None
         }
-        (Some(KindWord::Plain), None) => Some(Kind::Plain),
+        (Some(KindName::Plain), None) => Some(Kind::Plain),
         (None, _) => None,
     };
     if let (Some(kind), Some(classes)) = (&kind, &classes) {
-        check_classes(kind, classes, f.place_of("classes"), cx);
+        check_classes(kind, classes, f.position_of("classes"), errors);
         if *kind == Kind::Plain && (calm.is_some() || fencing.is_some()) {
-            cx.add(
-                f.place(),
+            errors.add(
+                f.position(),
                 "kind `plain` takes neither `calm` nor `fencing`: it has no roles",
             );
         }
     }
-    let upstreams = upstreams.map(|list| sort_upstreams(list, f.place_of("upstreams"), cx));
-    f.close(cx);
+    let upstreams = upstreams.map(|list| sort_upstreams(list, f.position_of("upstreams"), errors));
+    f.reject_unknown(errors);
     Some(Doc {
         service: service?,
         kind: kind?,
@@ -64,33 +71,37 @@
     })
 }
 
-enum KindWord {
+enum KindName {
     Engine,
     Plain,
 }
 
-fn kind_word(node: &Node, cx: &mut Faults) -> Option<KindWord> {
+fn kind_name(node: &Node, errors: &mut ParseErrors) -> Option<KindName> {
     match node.as_scalar().map(|s| s.as_str()) {
-        Some("engine") => Some(KindWord::Engine),
-        Some("plain") => Some(KindWord::Plain),
+        Some("engine") => Some(KindName::Engine),
+        Some("plain") => Some(KindName::Plain),
         _ => {
-            cx.add(yaml::place(node), "expected `engine` or `plain`");
+            errors.add(yaml::position(node), "expected `engine` or `plain`");
             None
         }
     }
 }
 
-fn model(node: &Node, cx: &mut Faults) -> Option<Model> {
-    let mut f = Fields::open(node, cx)?;
-    let name = f.need("name", yaml::name, cx);
-    let version = f.need("version", yaml::count, cx);
-    let adapters = f.may("adapters", |n, cx| yaml::list(n, cx, yaml::name), cx);
-    let at = f.place_of("adapters");
-    f.close(cx);
+fn model(node: &Node, errors: &mut ParseErrors) -> Option<Model> {
+    let mut f = Fields::open(node, errors)?;
+    let name = f.required("name", yaml::name, errors);
+    let version = f.required("version", yaml::count, errors);
+    let adapters = f.optional(
+        "adapters",
+        |n, errors| yaml::list(n, errors, yaml::name),
+        errors,
+    );
+    let at = f.position_of("adapters");
+    f.reject_unknown(errors);
     let mut adapters = adapters.unwrap_or_default();
     adapters.sort_unstable();
     if adapters.windows(2).any(|pair| pair[0] == pair[1]) {
-        cx.add(at, "an adapter stands twice");
+        errors.add(at, "an adapter stands twice");
     }
     Some(Model {
         name: name?,
@@ -99,29 +110,29 @@
     })
 }
 
-fn class(node: &Node, cx: &mut Faults) -> Option<Class> {
-    let mut f = Fields::open(node, cx)?;
-    let name = f.need("name", yaml::name, cx);
-    let urgency = f.need("urgency", yaml::count, cx);
-    let deadline = f.need("deadline", yaml::duration, cx);
-    let idempotent = f.need("idempotent", yaml::flag, cx);
-    let share = f.need("share", yaml::share, cx);
-    let starvation_bound = f.need("starvation_bound", yaml::duration, cx);
-    let queue = f.need("queue", yaml::count, cx);
-    let routes = f.may("routes", |n, cx| yaml::list(n, cx, route), cx);
+fn class(node: &Node, errors: &mut ParseErrors) -> Option<Class> {
+    let mut f = Fields::open(node, errors)?;
+    let name = f.required("name", yaml::name, errors);
+    let urgency = f.required("urgency", yaml::count, errors);
+    let deadline = f.required("deadline", yaml::duration, errors);
+    let idempotent = f.required("idempotent", yaml::flag, errors);
+    let share = f.required("share", yaml::share, errors);
+    let starvation_bound = f.required("starvation_bound", yaml::duration, errors);
+    let queue = f.required("queue", yaml::count, errors);
+    let routes = f.optional("routes", |n, errors| yaml::list(n, errors, route), errors);
     if urgency.is_some_and(|u| u > MAX_URGENCY) {
-        cx.add(
-            f.place_of("urgency"),
+        errors.add(
+            f.position_of("urgency"),
             format!("urgency goes from 0 to {MAX_URGENCY}"),
         );
     }
     if deadline == Some(Duration::ZERO) {
-        cx.add(f.place_of("deadline"), "a deadline of 0 can't be met");
+        errors.add(f.position_of("deadline"), "a deadline of 0 can't be met");
     }
     if queue == Some(0) {
-        cx.add(f.place_of("queue"), "a queue of 0 serves nothing");
+        errors.add(f.position_of("queue"), "a queue of 0 serves nothing");
     }
-    f.close(cx);
+    f.reject_unknown(errors);
     Some(Class {
         name: name?,
         urgency: urgency?,
@@ -134,8 +145,8 @@
     })
 }
 
-fn route(node: &Node, cx: &mut Faults) -> Option<Route> {
-    let text = yaml::text(node, cx)?;
+fn route(node: &Node, errors: &mut ParseErrors) -> Option<Route> {
+    let text = yaml::text(node, errors)?;
     let fits = |m: &str, p: &str| m.bytes().all(|b| b.is_ascii_uppercase()) && p.starts_with('/');
     match text.split_once(' ') {
         Some((m, p)) if !m.is_empty() && fits(m, p) => Some(Route {
@@ -143,8 +154,8 @@
             path: p.to_owned(),
         }),
         _ => {
-            cx.add(
-                yaml::place(node),
+            errors.add(
+                yaml::position(node),
                 "expected a method and a path, such as `POST /notices`",
             );
             None
@@ -152,34 +163,34 @@
     }
 }
 
-fn tenant_limits(node: &Node, cx: &mut Faults) -> Option<TenantLimits> {
-    let mut f = Fields::open(node, cx)?;
-    let queue = f.need("queue", yaml::count, cx);
-    let running = f.need("running", yaml::count, cx);
+fn tenant_limits(node: &Node, errors: &mut ParseErrors) -> Option<TenantLimits> {
+    let mut f = Fields::open(node, errors)?;
+    let queue = f.required("queue", yaml::count, errors);
+    let running = f.required("running", yaml::count, errors);
     if running == Some(0) {
-        cx.add(f.place_of("running"), "a limit of 0 serves no tenant");
+        errors.add(f.position_of("running"), "a limit of 0 serves no tenant");
     }
-    f.close(cx);
+    f.reject_unknown(errors);
     Some(TenantLimits {
         queue: queue?,
         running: running?,
     })
 }
 
-fn upstream(node: &Node, cx: &mut Faults) -> Option<Upstream> {
-    let mut f = Fields::open(node, cx)?;
-    let name = f.need("name", yaml::name, cx);
-    let host = f.need("host", yaml::name, cx);
-    let zone = f.need("zone", yaml::name, cx);
-    let agent = f.need("agent", yaml::address, cx);
-    let slots = f.need("slots", yaml::count, cx);
+fn upstream(node: &Node, errors: &mut ParseErrors) -> Option<Upstream> {
+    let mut f = Fields::open(node, errors)?;
+    let name = f.required("name", yaml::name, errors);
+    let host = f.required("host", yaml::name, errors);
+    let zone = f.required("zone", yaml::name, errors);
+    let agent = f.required("agent", yaml::address, errors);
+    let slots = f.required("slots", yaml::count, errors);
     if slots == Some(0) {
-        cx.add(
-            f.place_of("slots"),
+        errors.add(
+            f.position_of("slots"),
             "an upstream with no slots serves nothing",
         );
     }
-    f.close(cx);
+    f.reject_unknown(errors);
     Some(Upstream {
         name: name?,
         host: host?,
@@ -189,13 +200,13 @@
     })
 }
 
-fn check_classes(kind: &Kind, classes: &[Class], at: (usize, usize), cx: &mut Faults) {
+fn check_classes(kind: &Kind, classes: &[Class], at: (usize, usize), errors: &mut ParseErrors) {
     if classes.is_empty() || classes.len() > MAX_CLASSES {
-        cx.add(at, format!("a document has 1 to {MAX_CLASSES} classes"));
+        errors.add(at, format!("a document has 1 to {MAX_CLASSES} classes"));
     }
     let sum: f64 = classes.iter().map(|c| c.share).sum();
-    if sum > 1.0 + SHARE_SLACK {
-        cx.add(
+    if sum > 1.0 + SHARE_TOLERANCE {
+        errors.add(
             at,
             format!(
                 "the classes' shares add up to {:.0}%, over 100%",
@@ -205,15 +216,15 @@
     }
     for (i, c) in classes.iter().enumerate() {
         if classes[..i].iter().any(|o| o.name == c.name) {
-            cx.add(at, format!("class `{}` stands twice", c.name));
+            errors.add(at, format!("class `{}` stands twice", c.name));
         }
         let engine = matches!(kind, Kind::Engine(_));
         if engine && !c.idempotent {
             let why = "a model engine's calls are idempotent; only a plain service's may not be";
-            cx.add(at, format!("class `{}`: {why}", c.name));
+            errors.add(at, format!("class `{}`: {why}", c.name));
         }
         if engine && !c.routes.is_empty() {
-            cx.add(
+            errors.add(
                 at,
                 format!("class `{}`: kind `engine` takes no `routes`", c.name),
             );
@@ -221,7 +232,7 @@
         for r in &c.routes {
             let taken = |o: &Class| o.routes.contains(r);
             if classes[..i].iter().any(taken) {
-                cx.add(
+                errors.add(
                     at,
                     format!("route `{} {}` stands in two classes", r.method, r.path),
                 );
@@ -230,9 +241,13 @@
     }
 }
 
-fn sort_upstreams(mut list: Vec<Upstream>, at: (usize, usize), cx: &mut Faults) -> Vec<Upstream> {
+fn sort_upstreams(
+    mut list: Vec<Upstream>,
+    at: (usize, usize),
+    errors: &mut ParseErrors,
+) -> Vec<Upstream> {
     if list.len() > MAX_UPSTREAMS {
-        cx.add(
+        errors.add(
             at,
             format!("a document has at most {MAX_UPSTREAMS} upstreams"),
         );
@@ -240,14 +255,14 @@
     list.sort_by(|a, b| a.name.cmp(&b.name));
     for pair in list.windows(2) {
         if pair[0].name == pair[1].name {
-            cx.add(at, format!("upstream `{}` stands twice", pair[0].name));
+            errors.add(at, format!("upstream `{}` stands twice", pair[0].name));
         }
     }
     let mut agents: Vec<SocketAddr> = list.iter().map(|u| u.agent).collect();
     agents.sort_unstable();
     for pair in agents.windows(2) {
         if pair[0] == pair[1] {
-            cx.add(at, format!("two upstreams name the agent {}", pair[0]));
+            errors.add(at, format!("two upstreams name the agent {}", pair[0]));
         }
     }
     list
--- a/crates/conf/src/fault.rs
+++ b/crates/conf/src/error.rs
@@ -4,42 +4,42 @@
 
 /// One fault in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct ParseError {
     /// Line, counted from 1.
     pub line: usize,
     /// Column, counted from 1.
     pub column: usize,
     /// What is wrong, in plain words.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.line, self.column, self.what)
+        write!(f, "{}:{}: {}", self.line, self.column, self.message)
     }
 }
 
 /// All faults of a file, in order of place.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Faults(Vec<Fault>);
+pub struct ParseErrors(Vec<ParseError>);
 
-impl Faults {
+impl ParseErrors {
     /// Notes a fault.
-    pub fn add(&mut self, (line, column): (usize, usize), what: impl Into<String>) {
-        self.0.push(Fault {
+    pub fn add(&mut self, (line, column): (usize, usize), message: impl Into<String>) {
+        self.0.push(ParseError {
             line,
             column,
-            what: what.into(),
+            message: message.into(),
         });
     }
 
     /// The faults so far.
-    pub fn all(&self) -> &[Fault] {
+    pub fn all(&self) -> &[ParseError] {
         &self.0
     }
 
     /// Gives `value` if no fault was noted, else the faults in order of place.
-    pub fn settle<T>(mut self, value: Option<T>) -> Result<T, Self> {
+    pub fn into_result<T>(mut self, value: Option<T>) -> Result<T, Self> {
         self.0.sort_by_key(|f| (f.line, f.column));
         match value {
             Some(v) if self.0.is_empty() => Ok(v),
@@ -48,13 +48,13 @@
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ParseErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for fault in &self.0 {
-            writeln!(f, "{fault}")?;
+        for error in &self.0 {
+            writeln!(f, "{error}")?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ParseErrors {}
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -5,10 +5,10 @@
 //! a file in one go.
 
 pub mod doc;
-pub mod fault;
+pub mod error;
 pub mod settings;
 pub mod yaml;
 
 pub use doc::{Class, ClassId, Doc, Kind, Model, Route, TenantLimits, Upstream, UpstreamId};
-pub use fault::{Fault, Faults};
+pub use error::{ParseError, ParseErrors};
 pub use settings::{Limits, Platform, Settings};
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -4,7 +4,7 @@
 //! and where the platform is. Everything about a service is in the service's
 //! document instead.
 
-use crate::fault::Faults;
+use crate::error::ParseErrors;
 use crate::yaml::{self, Fields};
 use marked_yaml::Node;
 use std::net::SocketAddr;
@@ -114,26 +114,33 @@
 
 impl Settings {
     /// Reads and checks settings; all faults come at once.
-    pub fn parse(text: &str) -> Result<Self, Faults> {
+    pub fn parse(text: &str) -> Result<Self, ParseErrors> {
         yaml::load(text, read_settings)
     }
 }
 
-fn read_settings(node: &Node, cx: &mut Faults) -> Option<Settings> {
-    let mut f = Fields::open(node, cx)?;
-    let name = f.need("name", yaml::name, cx);
-    let host = f.need("host", yaml::name, cx);
-    let zone = f.need("zone", yaml::name, cx);
-    let listen = f.need("listen", yaml::address, cx);
-    let admin = f.need("admin", yaml::address, cx);
-    let platform = f.need("platform", platform, cx);
-    let services = f.need("services", |n, cx| yaml::list(n, cx, yaml::name), cx);
-    let upstream = f.may("upstream", upstream, cx);
-    let limits = f.may("limits", limits, cx);
+fn read_settings(node: &Node, errors: &mut ParseErrors) -> Option<Settings> {
+    let mut f = Fields::open(node, errors)?;
+    let name = f.required("name", yaml::name, errors);
+    let host = f.required("host", yaml::name, errors);
+    let zone = f.required("zone", yaml::name, errors);
+    let listen = f.required("listen", yaml::address, errors);
+    let admin = f.required("admin", yaml::address, errors);
+    let platform = f.required("platform", platform, errors);
+    let services = f.required(
+        "services",
+        |n, errors| yaml::list(n, errors, yaml::name),
+        errors,
+    );
+    let upstream = f.optional("upstream", upstream, errors);
+    let limits = f.optional("limits", limits, errors);
     if services.as_ref().is_some_and(Vec::is_empty) {
-        cx.add(f.place_of("services"), "at least one service must be named");
+        errors.add(
+            f.position_of("services"),
+            "at least one service must be named",
+        );
     }
-    f.close(cx);
+    f.reject_unknown(errors);
     Some(Settings {
         name: name?,
         host: host?,
@@ -147,13 +154,13 @@
     })
 }
 
-fn platform(node: &Node, cx: &mut Faults) -> Option<Platform> {
-    let mut f = Fields::open(node, cx)?;
-    let table = f.need("table", yaml::address, cx);
-    let objects = f.need("objects", yaml::address, cx);
-    let hosts = f.need("hosts", yaml::address, cx);
-    let timeout = f.need("timeout", yaml::duration, cx);
-    f.close(cx);
+fn platform(node: &Node, errors: &mut ParseErrors) -> Option<Platform> {
+    let mut f = Fields::open(node, errors)?;
+    let table = f.required("table", yaml::address, errors);
+    let objects = f.required("objects", yaml::address, errors);
+    let hosts = f.required("hosts", yaml::address, errors);
+    let timeout = f.required("timeout", yaml::duration, errors);
+    f.reject_unknown(errors);
     Some(Platform {
         table: table?,
         objects: objects?,
@@ -162,50 +169,50 @@
     })
 }
 
-fn upstream(node: &Node, cx: &mut Faults) -> Option<UpstreamSettings> {
-    let mut f = Fields::open(node, cx)?;
-    let name = f.need("name", yaml::name, cx);
-    let address = f.need("address", yaml::address, cx);
-    f.close(cx);
+fn upstream(node: &Node, errors: &mut ParseErrors) -> Option<UpstreamSettings> {
+    let mut f = Fields::open(node, errors)?;
+    let name = f.required("name", yaml::name, errors);
+    let address = f.required("address", yaml::address, errors);
+    f.reject_unknown(errors);
     Some(UpstreamSettings {
         name: name?,
         address: address?,
     })
 }
 
-fn limits(node: &Node, cx: &mut Faults) -> Option<Limits> {
-    let mut f = Fields::open(node, cx)?;
+fn limits(node: &Node, errors: &mut ParseErrors) -> Option<Limits> {
+    let mut f = Fields::open(node, errors)?;
     let mut l = Limits::default();
-    let set_size = |f: &mut Fields<'_>, key, to: &mut usize, cx: &mut Faults| {
-        *to = f.may(key, yaml::size, cx).unwrap_or(*to);
+    let set_size = |f: &mut Fields<'_>, key, to: &mut usize, errors: &mut ParseErrors| {
+        *to = f.optional(key, yaml::size, errors).unwrap_or(*to);
     };
-    set_size(&mut f, "body", &mut l.body, cx);
-    set_size(&mut f, "head", &mut l.head, cx);
-    set_size(&mut f, "kept_answer", &mut l.kept_answer, cx);
-    let set_time = |f: &mut Fields<'_>, key, to: &mut Duration, cx: &mut Faults| {
-        *to = f.may(key, yaml::duration, cx).unwrap_or(*to);
+    set_size(&mut f, "body", &mut l.body, errors);
+    set_size(&mut f, "head", &mut l.head, errors);
+    set_size(&mut f, "kept_answer", &mut l.kept_answer, errors);
+    let set_time = |f: &mut Fields<'_>, key, to: &mut Duration, errors: &mut ParseErrors| {
+        *to = f.optional(key, yaml::duration, errors).unwrap_or(*to);
         if to.is_zero() {
-            cx.add(f.place_of(key), format!("`{key}` must be over 0"));
+            errors.add(f.position_of(key), format!("`{key}` must be over 0"));
         }
     };
-    set_time(&mut f, "read_timeout", &mut l.read_timeout, cx);
-    set_time(&mut f, "probe_timeout", &mut l.probe_timeout, cx);
-    set_time(&mut f, "idle_timeout", &mut l.idle_timeout, cx);
-    set_time(&mut f, "doc_poll", &mut l.doc_poll, cx);
-    set_time(&mut f, "host_poll", &mut l.host_poll, cx);
-    set_time(&mut f, "linger", &mut l.linger, cx);
-    set_time(&mut f, "drain_bound", &mut l.drain_bound, cx);
-    set_time(&mut f, "record_flush", &mut l.record_flush, cx);
-    set_time(&mut f, "lease", &mut l.lease, cx);
-    let set_count = |f: &mut Fields<'_>, key, to: &mut u32, cx: &mut Faults| {
-        *to = f.may(key, yaml::count, cx).unwrap_or(*to);
+    set_time(&mut f, "read_timeout", &mut l.read_timeout, errors);
+    set_time(&mut f, "probe_timeout", &mut l.probe_timeout, errors);
+    set_time(&mut f, "idle_timeout", &mut l.idle_timeout, errors);
+    set_time(&mut f, "doc_poll", &mut l.doc_poll, errors);
+    set_time(&mut f, "host_poll", &mut l.host_poll, errors);
+    set_time(&mut f, "linger", &mut l.linger, errors);
+    set_time(&mut f, "drain_bound", &mut l.drain_bound, errors);
+    set_time(&mut f, "record_flush", &mut l.record_flush, errors);
+    set_time(&mut f, "lease", &mut l.lease, errors);
+    let set_count = |f: &mut Fields<'_>, key, to: &mut u32, errors: &mut ParseErrors| {
+        *to = f.optional(key, yaml::count, errors).unwrap_or(*to);
         if *to == 0 {
-            cx.add(f.place_of(key), format!("`{key}` must be over 0"));
+            errors.add(f.position_of(key), format!("`{key}` must be over 0"));
         }
     };
-    set_count(&mut f, "record_buffer", &mut l.record_buffer, cx);
-    set_count(&mut f, "attempts", &mut l.attempts, cx);
-    set_count(&mut f, "tenant_metrics", &mut l.tenant_metrics, cx);
-    f.close(cx);
+    set_count(&mut f, "record_buffer", &mut l.record_buffer, errors);
+    set_count(&mut f, "attempts", &mut l.attempts, errors);
+    set_count(&mut f, "tenant_metrics", &mut l.tenant_metrics, errors);
+    f.reject_unknown(errors);
     Some(l)
 }
--- a/crates/conf/src/yaml.rs
+++ b/crates/conf/src/yaml.rs
@@ -3,64 +3,69 @@
 //! Each parse function takes a node, notes a fault when the node doesn't fit,
 //! and gives `None`. The caller goes on, so that all faults are found at once.
 
-use crate::fault::Faults;
+use crate::error::ParseErrors;
 use marked_yaml::types::MarkedMappingNode;
 use marked_yaml::{LoadError, Marker, Node};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Largest file that is read at all, in bytes.
-pub const MAX_FILE: usize = 256 * 1024;
+pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
 /// Longest duration that a file may state.
 const MAX_DURATION: Duration = Duration::from_secs(30 * 24 * 3600);
 
 /// A function that reads one node.
-pub type Parse<T> = fn(&Node, &mut Faults) -> Option<T>;
+pub type Parse<T> = fn(&Node, &mut ParseErrors) -> Option<T>;
 
 /// Parses the text of a file and reads its top level with `read`.
 pub fn load<T>(
     text: &str,
-    read: impl FnOnce(&Node, &mut Faults) -> Option<T>,
-) -> Result<T, Faults> {
-    let mut cx = Faults::default();
-    if text.len() > MAX_FILE {
-        cx.add(
+    read: impl FnOnce(&Node, &mut ParseErrors) -> Option<T>,
+) -> Result<T, ParseErrors> {
+    let mut errors = ParseErrors::default();
+    if text.len() > MAX_FILE_BYTES {
+        errors.add(
             (1, 1),
-            format!("file is {} bytes, the limit is {MAX_FILE}", text.len()),
+            format!(
+                "file is {} bytes, the limit is {MAX_FILE_BYTES}",
+                text.len()
+            ),
         );
-        return cx.settle(None);
+        return errors.into_result(None);
     }
     let options = marked_yaml::LoaderOptions::default().error_on_duplicate_keys(true);
     let value = match marked_yaml::parse_yaml_with_options(0, text, options) {
-        Ok(node) => read(&node, &mut cx),
+        Ok(node) => read(&node, &mut errors),
         Err(e) => {
-            load_fault(&e, &mut cx);
+            add_load_error(&e, &mut errors);
             None
         }
     };
-    cx.settle(value)
+    errors.into_result(value)
 }
 
-fn load_fault(e: &LoadError, cx: &mut Faults) {
-    let place = |m: &Marker| (m.line(), m.column());
+fn add_load_error(e: &LoadError, errors: &mut ParseErrors) {
+    let position = |m: &Marker| (m.line(), m.column());
     match e {
         LoadError::TopLevelMustBeMapping(m) | LoadError::TopLevelMustBeSequence(m) => {
-            cx.add(place(m), "expected fields at the top level");
+            errors.add(position(m), "expected fields at the top level");
         }
-        LoadError::UnexpectedAnchor(m) => cx.add(place(m), "anchors are not taken"),
-        LoadError::MappingKeyMustBeScalar(m) => cx.add(place(m), "a field's name must be a word"),
-        LoadError::UnexpectedTag(m) => cx.add(place(m), "tags are not taken"),
-        LoadError::ScanError(m, e) => cx.add(place(m), format!("not YAML: {e}")),
+        LoadError::UnexpectedAnchor(m) => errors.add(position(m), "anchors are not taken"),
+        LoadError::MappingKeyMustBeScalar(m) => {
+            errors.add(position(m), "a field's name must be a word");
+        }
+        LoadError::UnexpectedTag(m) => errors.add(position(m), "tags are not taken"),
+        LoadError::ScanError(m, e) => errors.add(position(m), format!("not YAML: {e}")),
         LoadError::DuplicateKey(d) => {
-            let at = d.key.span().start().map_or((1, 1), place);
-            cx.add(at, format!("field `{}` stands twice", d.key.as_str()));
+            let at = d.key.span().start().map_or((1, 1), position);
+            errors.add(at, format!("field `{}` stands twice", d.key.as_str()));
         }
     }
 }
 
 /// Where a node begins.
-pub fn place(node: &Node) -> (usize, usize) {
+pub fn position(node: &Node) -> (usize, usize) {
     node.span()
         .start()
         .map_or((1, 1), |m| (m.line(), m.column()))
@@ -69,62 +74,72 @@
 /// The fields of a mapping, each to be taken once.
 pub struct Fields<'a> {
     node: &'a MarkedMappingNode,
-    place: (usize, usize),
-    taken: Vec<&'static str>,
+    position: (usize, usize),
+    known: Vec<&'static str>,
 }
 
 impl<'a> Fields<'a> {
     /// Opens a mapping.
-    pub fn open(node: &'a Node, cx: &mut Faults) -> Option<Self> {
+    pub fn open(node: &'a Node, errors: &mut ParseErrors) -> Option<Self> {
         let Some(map) = node.as_mapping() else {
-            cx.add(place(node), "expected fields (`name: value`)");
+            errors.add(position(node), "expected fields (`name: value`)");
             return None;
         };
         Some(Self {
             node: map,
-            place: place(node),
-            taken: Vec::new(),
+            position: position(node),
+            known: Vec::new(),
         })
     }
 
     /// Where the mapping begins.
-    pub fn place(&self) -> (usize, usize) {
-        self.place
+    pub fn position(&self) -> (usize, usize) {
+        self.position
     }
 
     /// Where a field's value begins, or the mapping if the field is missing.
-    pub fn place_of(&self, key: &str) -> (usize, usize) {
-        self.node.get_node(key).map_or(self.place, place)
+    pub fn position_of(&self, key: &str) -> (usize, usize) {
+        self.node.get_node(key).map_or(self.position, position)
     }
 
     /// Takes a field that must be there.
-    pub fn need<T>(&mut self, key: &'static str, parse: Parse<T>, cx: &mut Faults) -> Option<T> {
-        self.taken.push(key);
+    pub fn required<T>(
+        &mut self,
+        key: &'static str,
+        parse: Parse<T>,
+        errors: &mut ParseErrors,
+    ) -> Option<T> {
+        self.known.push(key);
         let Some(node) = self.node.get_node(key) else {
-            cx.add(self.place, format!("field `{key}` is missing"));
+            errors.add(self.position, format!("field `{key}` is missing"));
             return None;
         };
-        parse(node, cx)
+        parse(node, errors)
     }
 
     /// Takes a field that may be missing. A faulty value gives `None` and a fault.
-    pub fn may<T>(&mut self, key: &'static str, parse: Parse<T>, cx: &mut Faults) -> Option<T> {
-        self.taken.push(key);
-        parse(self.node.get_node(key)?, cx)
+    pub fn optional<T>(
+        &mut self,
+        key: &'static str,
+        parse: Parse<T>,
+        errors: &mut ParseErrors,
+    ) -> Option<T> {
+        self.known.push(key);
+        parse(self.node.get_node(key)?, errors)
     }
 
     /// Notes each field that nobody took.
-    pub fn close(self, cx: &mut Faults) {
+    pub fn reject_unknown(self, errors: &mut ParseErrors) {
         for key in self.node.keys() {
-            if self.taken.iter().any(|t| *t == key.as_str()) {
+            if self.known.iter().any(|t| *t == key.as_str()) {
                 continue;
             }
             let at = key
                 .span()
                 .start()
-                .map_or(self.place, |m| (m.line(), m.column()));
-            let known = self.taken.join(", ");
-            cx.add(
+                .map_or(self.position, |m| (m.line(), m.column()));
+            let known = self.known.join(", ");
+            errors.add(
                 at,
                 format!("unknown field `{}` (known: {known})", key.as_str()),
             );
@@ -132,10 +147,10 @@
     }
 }
 
-fn scalar<'a>(node: &'a Node, want: &str, cx: &mut Faults) -> Option<&'a str> {
+fn scalar<'a>(node: &'a Node, want: &str, errors: &mut ParseErrors) -> Option<&'a str> {
     let text = node.as_scalar().map(|s| s.as_str());
     if text.is_none() {
-        cx.add(place(node), format!("expected {want}"));
+        errors.add(position(node), format!("expected {want}"));
     }
     text
 }
@@ -143,28 +158,28 @@
 fn from_str<T>(
     node: &Node,
     want: &str,
-    cx: &mut Faults,
+    errors: &mut ParseErrors,
     f: impl Fn(&str) -> Option<T>,
 ) -> Option<T> {
-    let text = scalar(node, want, cx)?;
+    let text = scalar(node, want, errors)?;
     let value = f(text);
     if value.is_none() {
-        cx.add(place(node), format!("expected {want}, found `{text}`"));
+        errors.add(position(node), format!("expected {want}, found `{text}`"));
     }
     value
 }
 
 /// Any text that isn't empty.
-pub fn text(node: &Node, cx: &mut Faults) -> Option<String> {
-    from_str(node, "a text", cx, |s| {
+pub fn text(node: &Node, errors: &mut ParseErrors) -> Option<String> {
+    from_str(node, "a text", errors, |s| {
         (!s.is_empty()).then(|| s.to_owned())
     })
 }
 
 /// A name: letters, digits, `-`, `_` and `.`, 64 bytes at most.
-pub fn name(node: &Node, cx: &mut Faults) -> Option<String> {
+pub fn name(node: &Node, errors: &mut ParseErrors) -> Option<String> {
     let want = "a name of letters, digits, `-`, `_`, `.` (64 at most)";
-    from_str(node, want, cx, |s| is_name(s).then(|| s.to_owned()))
+    from_str(node, want, errors, |s| is_name(s).then(|| s.to_owned()))
 }
 
 /// Whether a text may serve as a name.
@@ -174,23 +189,23 @@
 }
 
 /// `true` or `false`.
-pub fn flag(node: &Node, cx: &mut Faults) -> Option<bool> {
-    from_str(node, "true or false", cx, |s| s.parse().ok())
+pub fn flag(node: &Node, errors: &mut ParseErrors) -> Option<bool> {
+    from_str(node, "true or false", errors, |s| s.parse().ok())
 }
 
 /// A whole number.
-pub fn count(node: &Node, cx: &mut Faults) -> Option<u32> {
-    from_str(node, "a whole number", cx, |s| s.parse().ok())
+pub fn count(node: &Node, errors: &mut ParseErrors) -> Option<u32> {
+    from_str(node, "a whole number", errors, |s| s.parse().ok())
 }
 
 /// A number from 0 to 1.
-pub fn weight(node: &Node, cx: &mut Faults) -> Option<f64> {
+pub fn weight(node: &Node, errors: &mut ParseErrors) -> Option<f64> {
     let parse = |s: &str| s.parse().ok().filter(|v| (0.0..=1.0).contains(v));
-    from_str(node, "a number from 0 to 1", cx, parse)
+    from_str(node, "a number from 0 to 1", errors, parse)
 }
 
 /// A share such as `70%`, as a fraction.
-pub fn share(node: &Node, cx: &mut Faults) -> Option<f64> {
+pub fn share(node: &Node, errors: &mut ParseErrors) -> Option<f64> {
     let parse = |s: &str| {
         let v: f64 = s.strip_suffix('%')?.trim_end().parse().ok()?;
         (v > 0.0 && v <= 100.0).then_some(v / 100.0)
@@ -198,27 +213,27 @@
     from_str(
         node,
         "a share such as 70% (over 0%, 100% at most)",
-        cx,
+        errors,
         parse,
     )
 }
 
 /// An IP address with a port.
-pub fn address(node: &Node, cx: &mut Faults) -> Option<SocketAddr> {
+pub fn address(node: &Node, errors: &mut ParseErrors) -> Option<SocketAddr> {
     from_str(
         node,
         "an IP address with a port, such as 127.0.0.1:7000",
-        cx,
+        errors,
         |s| s.parse().ok(),
     )
 }
 
 /// A duration with its unit: `200ms`, `2s`, `5m`, `1h`.
-pub fn duration(node: &Node, cx: &mut Faults) -> Option<Duration> {
+pub fn duration(node: &Node, errors: &mut ParseErrors) -> Option<Duration> {
     from_str(
         node,
         "a duration with a unit, such as 200ms, 2s, 5m, 1h",
-        cx,
+        errors,
         parse_duration,
     )
 }
@@ -234,11 +249,11 @@
 }
 
 /// A size with its unit: `64KiB`, `4MiB`.
-pub fn size(node: &Node, cx: &mut Faults) -> Option<usize> {
+pub fn size(node: &Node, errors: &mut ParseErrors) -> Option<usize> {
     from_str(
         node,
         "a size with a unit, such as 512B, 64KiB, 4MiB",
-        cx,
+        errors,
         |s| {
             let (digits, unit) = [("KiB", 1024), ("MiB", 1024 * 1024), ("B", 1)]
                 .iter()
@@ -249,11 +264,11 @@
 }
 
 /// A list, each item read by `parse`.
-pub fn list<T>(node: &Node, cx: &mut Faults, parse: Parse<T>) -> Option<Vec<T>> {
+pub fn list<T>(node: &Node, errors: &mut ParseErrors, parse: Parse<T>) -> Option<Vec<T>> {
     let Some(seq) = node.as_sequence() else {
-        cx.add(place(node), "expected a list");
+        errors.add(position(node), "expected a list");
         return None;
     };
-    let items: Vec<Option<T>> = seq.iter().map(|n| parse(n, cx)).collect();
+    let items: Vec<Option<T>> = seq.iter().map(|n| parse(n, errors)).collect();
     items.into_iter().collect()
 }
--- a/crates/conf/tests/samples.rs
+++ b/crates/conf/tests/samples.rs
@@ -13,17 +13,17 @@
 }
 
 #[test]
-fn sample_documents_have_the_users_services_workers_and_zones() {
+fn sample_documents_have_the_expected_services_upstreams_and_zones() {
     let cases = [
         ("sleutelbos/taalmodel-dossier.yaml", 9, "gent-zaal-a"),
         ("sleutelbos/ledenportaal.yaml", 4, "brussel-noord"),
         ("blue-mahoe/blend-llm.yaml", 8, "halfway-tree"),
         ("blue-mahoe/shop-api.yaml", 4, "papine"),
     ];
-    for (name, workers, zone) in cases {
+    for (name, upstreams, zone) in cases {
         let doc = Doc::parse(&sample(name)).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert!(name.contains(&doc.service));
-        assert_eq!(doc.upstreams.len(), workers, "{name}");
+        assert_eq!(doc.upstreams.len(), upstreams, "{name}");
         assert!(doc.upstreams.iter().any(|u| u.zone == zone), "{name}");
     }
 }
@@ -37,36 +37,36 @@
 }
 
 #[test]
-fn all_faults_of_a_document_come_at_once_with_their_places() {
+fn all_errors_in_a_document_are_reported_together_with_their_positions() {
     let text = sample("sleutelbos/ledenportaal.yaml")
         .replace("share: 30%", "share: 30")
         .replace("drain_bound: 30s", "drain_bound: 30")
         .replace("urgency: 2", "urgncy: 2")
         .replace("queue: 32, running: 16", "queue: 32, running: 0");
-    let faults = Doc::parse(&text).unwrap_err();
+    let errors = Doc::parse(&text).unwrap_err();
     let line_of = |part: &str| 1 + text.lines().position(|l| l.contains(part)).unwrap();
-    let at = |part: &str| faults.all().iter().any(|f| f.line == line_of(part));
-    assert!(at("share: 30"), "{faults}");
-    assert!(at("drain_bound: 30"), "{faults}");
-    assert!(at("urgncy: 2"), "{faults}");
-    assert!(at("running: 0"), "{faults}");
+    let at = |part: &str| errors.all().iter().any(|f| f.line == line_of(part));
+    assert!(at("share: 30"), "{errors}");
+    assert!(at("drain_bound: 30"), "{errors}");
+    assert!(at("urgncy: 2"), "{errors}");
+    assert!(at("running: 0"), "{errors}");
     assert!(
-        faults
+        errors
             .all()
             .iter()
-            .any(|f| f.what.contains("unknown field `urgncy`")),
-        "{faults}"
+            .any(|f| f.message.contains("unknown field `urgncy`")),
+        "{errors}"
     );
-    let urgency = faults
+    let urgency = errors
         .all()
         .iter()
-        .find(|f| f.what.contains("unknown field"))
+        .find(|f| f.message.contains("unknown field"))
         .unwrap();
     assert_eq!(urgency.column, 5);
 }
 
 #[test]
-fn combinations_that_cannot_be_are_refused() {
+fn invalid_combinations_of_fields_are_rejected() {
     let portal = sample("sleutelbos/ledenportaal.yaml");
     let model = sample("sleutelbos/taalmodel-dossier.yaml");
     let cases = [
@@ -109,16 +109,16 @@
         ),
     ];
     for (text, want) in cases {
-        let faults = Doc::parse(&text).unwrap_err();
+        let errors = Doc::parse(&text).unwrap_err();
         assert!(
-            faults.all().iter().any(|f| f.what.contains(want)),
-            "{want}: {faults}"
+            errors.all().iter().any(|f| f.message.contains(want)),
+            "{want}: {errors}"
         );
     }
 }
 
 #[test]
-fn anchors_tags_and_broken_yaml_are_faults_and_not_panics() {
+fn anchors_tags_and_invalid_yaml_give_errors_and_no_panic() {
     for text in [
         "a: &x 1\nb: *x\n",
         "a: !!str 1\n",
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,13 +1,13 @@
 //! Calls to an engine.
 
-use crate::dialect::{
-    CacheEvents, Chunk, CompletionBody, EngineState, Load, Order, OrderAnswer, PATH_CANCEL,
-    PATH_COMPLETIONS, PATH_EVENTS, PATH_LOAD, PATH_ORDER, PATH_STATE,
+use crate::protocol::{
+    CacheEvents, Chunk, CompletionBody, EngineState, Load, Order, OrderAnswer, PATH_CACHE_EVENTS,
+    PATH_CANCEL, PATH_COMPLETIONS, PATH_LOAD, PATH_ORDER, PATH_STATE,
 };
 use crate::sse::EventReader;
 use http_body_util::BodyExt;
 use hyper::{Method, Request, StatusCode};
-use net::h1::Answer;
+use net::h1::PooledResponse;
 use net::{Body, CallError, Pool, empty, full};
 use quick_error::quick_error;
 use serde::de::DeserializeOwned;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Largest answer to a call that isn't a completion.
-const MAX_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 /// Last event of a completion.
 const DONE: &[u8] = b"[DONE]";
 
@@ -31,7 +31,7 @@
         /// The engine refused.
         Refused(status: StatusCode) { display("engine answered {status}") }
         /// The engine answered something that isn't its protocol.
-        Nonsense(why: &'static str) { display("engine answered nonsense: {why}") }
+        InvalidResponse(why: &'static str) { display("engine answered nonsense: {why}") }
     }
 }
 
@@ -44,7 +44,7 @@
 
 /// One token of a completion, or its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Token {
+pub enum CompletionEvent {
     /// A token.
     Text(String),
     /// The whole completion is there: so many tokens, resumed ones included.
@@ -54,8 +54,8 @@
 /// A completion that is under way. Dropping it cancels it: the connection
 /// closes, and the engine stops.
 #[derive(Debug)]
-pub struct Stream {
-    answer: Answer,
+pub struct CompletionStream {
+    pooled: PooledResponse,
     events: EventReader,
     id: String,
     count: u32,
@@ -72,17 +72,17 @@
     }
 
     /// Starts a completion.
-    pub async fn complete(&self, body: &CompletionBody) -> Result<Stream, EngineError> {
+    pub async fn complete(&self, body: &CompletionBody) -> Result<CompletionStream, EngineError> {
         let req = self.request(Method::POST, PATH_COMPLETIONS, json(body));
-        let answer = self.pool.send_fresh(req).await?;
-        let status = answer.response.status();
+        let pooled = self.pool.send_on_new(req).await?;
+        let status = pooled.response.status();
         if !status.is_success() {
             return Err(EngineError::Refused(status));
         }
         let events = EventReader::default();
         let id = body.request_id.clone();
-        Ok(Stream {
-            answer,
+        Ok(CompletionStream {
+            pooled,
             events,
             id,
             count: body.resume_from,
@@ -92,29 +92,36 @@
 
     /// Reads the state.
     pub async fn state(&self) -> Result<EngineState, EngineError> {
-        self.ask(Method::GET, PATH_STATE, empty()).await
+        self.call_json(Method::GET, PATH_STATE, empty()).await
     }
 
     /// Reads the load report.
     pub async fn load(&self) -> Result<Load, EngineError> {
-        self.ask(Method::GET, PATH_LOAD, empty()).await
+        self.call_json(Method::GET, PATH_LOAD, empty()).await
     }
 
     /// Reads cache events after a number.
     pub async fn cache_events(&self, after: u64) -> Result<CacheEvents, EngineError> {
-        self.ask(Method::GET, &format!("{PATH_EVENTS}?{after}"), empty())
-            .await
+        self.call_json(
+            Method::GET,
+            &format!("{PATH_CACHE_EVENTS}?{after}"),
+            empty(),
+        )
+        .await
     }
 
     /// Gives an order.
     pub async fn order(&self, order: &Order) -> Result<OrderAnswer, EngineError> {
-        self.ask(Method::POST, PATH_ORDER, json(order)).await
+        self.call_json(Method::POST, PATH_ORDER, json(order)).await
     }
 
     /// Cancels a completion by its id.
     pub async fn cancel(&self, id: &str) -> Result<(), EngineError> {
         let req = self.request(Method::POST, &format!("{PATH_CANCEL}?{id}"), empty());
-        let (status, _) = self.pool.call(req, MAX_ANSWER, self.timeout).await?;
+        let (status, _) = self
+            .pool
+            .call(req, MAX_RESPONSE_BYTES, self.timeout)
+            .await?;
         if status.is_success() {
             Ok(())
         } else {
@@ -122,18 +129,21 @@
         }
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn call_json<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Body,
     ) -> Result<T, EngineError> {
         let req = self.request(method, path, body);
-        let (status, body) = self.pool.call(req, MAX_ANSWER, self.timeout).await?;
+        let (status, body) = self
+            .pool
+            .call(req, MAX_RESPONSE_BYTES, self.timeout)
+            .await?;
         if !status.is_success() {
             return Err(EngineError::Refused(status));
         }
-        serde_json::from_slice(&body).map_err(|_| EngineError::Nonsense("not its JSON"))
+        serde_json::from_slice(&body).map_err(|_| EngineError::InvalidResponse("not its JSON"))
     }
 
     fn request(&self, method: Method, path: &str, body: Body) -> Request<Body> {
@@ -151,15 +161,15 @@
     full(serde_json::to_vec(value).expect("messages have no field that can't be encoded"))
 }
 
-impl Stream {
+impl CompletionStream {
     /// Waits for the next token or the end.
-    pub async fn next(&mut self) -> Result<Token, EngineError> {
+    pub async fn next(&mut self) -> Result<CompletionEvent, EngineError> {
         loop {
-            if let Some(token) = self.buffered()? {
+            if let Some(token) = self.next_buffered()? {
                 return Ok(token);
             }
-            let Some(frame) = self.answer.response.body_mut().frame().await else {
-                return Err(EngineError::Nonsense("stream ended before its end"));
+            let Some(frame) = self.pooled.response.body_mut().frame().await else {
+                return Err(EngineError::InvalidResponse("stream ended before its end"));
             };
             let frame = frame.map_err(|e| CallError::MaybeSent(e.to_string()))?;
             if let Some(data) = frame.data_ref() {
@@ -169,38 +179,40 @@
     }
 
     /// Takes the next token or the end if its bytes are here already.
-    fn buffered(&mut self) -> Result<Option<Token>, EngineError> {
-        let malformed = |_| EngineError::Nonsense("not server-sent events");
+    fn next_buffered(&mut self) -> Result<Option<CompletionEvent>, EngineError> {
+        let malformed = |_| EngineError::InvalidResponse("not server-sent events");
         let Some(data) = self.events.pop().map_err(malformed)? else {
             return Ok(None);
         };
         if data.as_ref() == DONE {
             if self.finished {
-                return Ok(Some(Token::End(self.count)));
+                return Ok(Some(CompletionEvent::End(self.count)));
             }
-            return Err(EngineError::Nonsense("end without a finish reason"));
+            return Err(EngineError::InvalidResponse("end without a finish reason"));
         }
         if self.finished {
-            return Err(EngineError::Nonsense("chunk after the finish reason"));
+            return Err(EngineError::InvalidResponse(
+                "chunk after the finish reason",
+            ));
         }
-        self.chunk(&data).map(Some)
+        self.parse_chunk(&data).map(Some)
     }
 
-    fn chunk(&mut self, data: &[u8]) -> Result<Token, EngineError> {
+    fn parse_chunk(&mut self, data: &[u8]) -> Result<CompletionEvent, EngineError> {
         let Ok(chunk) = serde_json::from_slice::<Chunk>(data) else {
-            return Err(EngineError::Nonsense("not a chunk"));
+            return Err(EngineError::InvalidResponse("not a chunk"));
         };
         if chunk.id != self.id {
-            return Err(EngineError::Nonsense("chunk of another request"));
+            return Err(EngineError::InvalidResponse("chunk of another request"));
         }
         self.count += 1;
         if chunk.usage.completion_tokens != self.count {
-            return Err(EngineError::Nonsense("chunk missing or doubled"));
+            return Err(EngineError::InvalidResponse("chunk missing or doubled"));
         }
         let Some(choice) = chunk.choices.into_iter().next() else {
-            return Err(EngineError::Nonsense("chunk without a choice"));
+            return Err(EngineError::InvalidResponse("chunk without a choice"));
         };
         self.finished = choice.finish_reason.is_some();
-        Ok(Token::Text(choice.text))
+        Ok(CompletionEvent::Text(choice.text))
     }
 }
--- a/crates/engine/src/dialect.rs
+++ b/crates/engine/src/protocol.rs
@@ -10,7 +10,7 @@
 /// Path of the engine's load report, which lags.
 pub const PATH_LOAD: &str = "/engine/load";
 /// Path of cache events; the last number seen is the query.
-pub const PATH_EVENTS: &str = "/engine/cache-events";
+pub const PATH_CACHE_EVENTS: &str = "/engine/cache-events";
 /// Path of an order.
 pub const PATH_ORDER: &str = "/engine/order";
 /// Path of a cancel; the request's id is the query.
--- a/crates/engine/src/sse.rs
+++ b/crates/engine/src/sse.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Largest event that is taken, in bytes.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// The stream isn't server-sent events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
         loop {
             let Some(at) = self.buf[self.scanned..].iter().position(|b| *b == b'\n') else {
                 self.scanned = self.buf.len();
-                return if self.scanned > MAX_EVENT {
+                return if self.scanned > MAX_EVENT_BYTES {
                     Err(Malformed)
                 } else {
                     Ok(None)
--- a/crates/engine/tests/client.rs
+++ b/crates/engine/tests/client.rs
@@ -1,7 +1,7 @@
 //! The engine's client against the stand-in: whole answers, and refusal of all else.
 
-use engine::client::Token;
-use engine::dialect::CompletionBody;
+use engine::client::CompletionEvent;
+use engine::protocol::CompletionBody;
 use engine::sse::EventReader;
 use engine::{Client, EngineError, Order, OrderAnswer};
 use fakes::answer;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use wire::{Model, Role};
 
-async fn bed(fencing: bool) -> (Arc<EngineStandin>, Client, Running) {
+async fn start_engine(fencing: bool) -> (Arc<EngineStandin>, Client, Running) {
     let step = Duration::from_millis(1);
     let change = Duration::from_millis(20);
     let standin = EngineStandin::new(Rates {
@@ -63,15 +63,15 @@
     let mut text = String::new();
     loop {
         match stream.next().await? {
-            Token::Text(t) => text.push_str(&t),
-            Token::End(_) => return Ok(text),
+            CompletionEvent::Text(t) => text.push_str(&t),
+            CompletionEvent::End(_) => return Ok(text),
         }
     }
 }
 
 #[tokio::test]
-async fn a_completion_is_whole_and_a_resumed_one_goes_on_where_it_broke() {
-    let (_standin, client, _running) = bed(true).await;
+async fn completions_are_complete_and_resume_at_the_requested_token() {
+    let (_standin, client, _running) = start_engine(true).await;
     load(&client, 1).await;
     let whole = read(&client, &body("a", 9, 0)).await.unwrap();
     assert_eq!(whole, answer::completion("prompt of a", 9));
@@ -83,23 +83,23 @@
 }
 
 #[tokio::test]
-async fn broken_crossed_doubled_and_senseless_answers_are_errors() {
-    let (standin, client, _running) = bed(true).await;
+async fn broken_mixed_up_duplicated_and_invalid_responses_are_errors() {
+    let (standin, client, _running) = start_engine(true).await;
     load(&client, 1).await;
-    let one = |f: Faults| {
+    let read_with = |f: Faults| {
         standin.gate().set(f);
         let client = client.clone();
         async move {
-            // A neighbour, so that there is somebody to be crossed with.
+            // A other_stream, so that there is somebody to be crossed with.
             let other = body("first", 400, 0);
-            let neighbour = client.complete(&other).await;
+            let other_stream = client.complete(&other).await;
             let got = read(&client, &body("second", 30, 0)).await;
-            drop(neighbour);
+            drop(other_stream);
             got
         }
     };
     assert!(
-        one(Faults {
+        read_with(Faults {
             break_streams: 2,
             ..Faults::default()
         })
@@ -107,7 +107,7 @@
         .is_err()
     );
     assert!(
-        one(Faults {
+        read_with(Faults {
             cross_chunks: 5,
             ..Faults::default()
         })
@@ -115,7 +115,7 @@
         .is_err()
     );
     assert!(
-        one(Faults {
+        read_with(Faults {
             double_chunks: 40,
             ..Faults::default()
         })
@@ -123,19 +123,19 @@
         .is_err()
     );
     assert!(
-        one(Faults {
+        read_with(Faults {
             nonsense: 2,
             ..Faults::default()
         })
         .await
         .is_err()
     );
-    assert!(one(Faults::default()).await.is_ok());
+    assert!(read_with(Faults::default()).await.is_ok());
 }
 
 #[tokio::test]
-async fn an_old_fencing_number_is_refused_by_engines_that_look() {
-    let (standin, client, _running) = bed(true).await;
+async fn an_old_fencing_token_is_rejected_by_engines_that_check_it() {
+    let (standin, client, _running) = start_engine(true).await;
     load(&client, 7).await;
     assert_eq!(
         client.order(&order(6, 2)).await.unwrap(),
@@ -146,7 +146,7 @@
         Some(Model::plain("m", 1))
     );
     assert!(standin.history().orders.iter().all(|o| !o.stale_effective));
-    let (standin, client, _running) = bed(false).await;
+    let (standin, client, _running) = start_engine(false).await;
     load(&client, 7).await;
     assert_eq!(
         client.order(&order(6, 2)).await.unwrap(),
@@ -159,13 +159,13 @@
 }
 
 #[test]
-fn events_survive_any_cut_and_other_bytes_are_malformed() {
+fn events_are_read_from_chunks_of_any_size_and_other_bytes_are_malformed() {
     let text = b"data: one\n\n: a comment\n\ndata: two\r\n\r\ndata:three\n\n";
-    for cut in 1..text.len() {
+    for size in 1..text.len() {
         let mut r = EventReader::default();
         let mut got = Vec::new();
-        for piece in text.chunks(cut) {
-            r.push(piece);
+        for chunk in text.chunks(size) {
+            r.push(chunk);
             while let Some(data) = r.pop().unwrap() {
                 got.push(String::from_utf8(data.to_vec()).unwrap());
             }
--- a/crates/entry/src/accounting.rs
+++ b/crates/entry/src/accounting.rs
@@ -2,7 +2,7 @@
 
 use crate::state::Entry;
 use observe::log_line::now_ms;
-use observe::{Event, Labels, Seconds, emit};
+use observe::{Event, Labels, Latency, emit};
 use records::{Record, Side};
 use std::time::{Duration, Instant};
 use wire::{Outcome, Reason, RequestId};
@@ -54,7 +54,7 @@
         queue_ms: request.queue_ms,
         first_ms: request.first_byte.map(millis),
         total_ms: millis(total),
-        stopping_ms: entry.node.since_stop(request.received_at).map(millis),
+        stopping_ms: entry.node.time_since_stop(request.received_at).map(millis),
     });
     entry.node.recorder.record(Record {
         request: request.id,
@@ -83,11 +83,11 @@
     };
     let metrics = &entry.node.metrics;
     let reason = request.reason.map(|r| r.to_string()).unwrap_or_default();
-    metrics.count(labels, &request.outcome.to_string(), &reason);
-    metrics.time(labels, Seconds::Total, total.as_secs_f64());
-    metrics.time(labels, Seconds::Queue, request.queue_ms as f64 / 1000.0);
+    metrics.count_request(labels, &request.outcome.to_string(), &reason);
+    metrics.observe_latency(labels, Latency::Total, total.as_secs_f64());
+    metrics.observe_latency(labels, Latency::Queue, request.queue_ms as f64 / 1000.0);
     if let Some(first_byte) = request.first_byte {
-        metrics.time(labels, Seconds::First, first_byte.as_secs_f64());
+        metrics.observe_latency(labels, Latency::FirstByte, first_byte.as_secs_f64());
     }
 }
 
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -17,7 +17,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, Version};
 use net::Body;
-use net::server::{BodyFault, read_body};
+use net::server::{BodyError, read_body};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wire::{Call, Outcome, PlainCall, Reason, Refusal, RequestId};
@@ -46,7 +46,7 @@
 pub async fn serve(entry: Arc<Entry>, req: Request<Incoming>) -> Response<Body> {
     let is_http1 = req.version() < Version::HTTP_2;
     let mut res = answer(entry.clone(), req).await;
-    if is_http1 && entry.node.ends().is_some() {
+    if is_http1 && entry.node.stop_deadline().is_some() {
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(CONNECTION, close);
     }
@@ -56,12 +56,12 @@
 async fn answer(entry: Arc<Entry>, req: Request<Incoming>) -> Response<Body> {
     let received_at = Instant::now();
     let id = RequestId(fastrand::u128(..));
-    let running = entry.node.begin();
+    let running = entry.node.begin_request();
     let (head, body) = req.into_parts();
     let prepared = tokio::select! {
         biased;
         prepared = prepare(&entry, &head, body, id) => prepared,
-        () = entry.node.ended() => Err(Reason::ProcessEnds),
+        () = entry.node.drain_ended() => Err(Reason::ProcessEnds),
     };
     match prepared {
         Ok((req, mode)) => {
@@ -91,7 +91,7 @@
     let Ok((service, path)) = split_path(head) else {
         return;
     };
-    if !entry.node.documents.knows(service) {
+    if !entry.node.documents.serves(service) {
         return;
     }
     let doc = entry.node.documents.get(service);
@@ -134,11 +134,11 @@
 ) -> Result<(RoutedRequest, ResponseMode), Reason> {
     let (service, path) = split_path(head)?;
     let documents = &entry.node.documents;
-    if !documents.knows(service) {
+    if !documents.serves(service) {
         return Err(Reason::UnknownService);
     }
     // After the start of the process, requests wait until it has a document.
-    if !documents.reach(service, 1, FIRST_DOC_WAIT).await {
+    if !documents.wait_for_version(service, 1, FIRST_DOC_WAIT).await {
         return Err(Reason::NotReady);
     }
     let doc = documents.get(service).ok_or(Reason::NotReady)?;
@@ -147,9 +147,9 @@
     let body = read_body(body, limits.body, limits.read_timeout)
         .await
         .map_err(|e| match e {
-            BodyFault::TooLarge => Reason::TooLarge,
-            BodyFault::Slow => Reason::SlowRequest,
-            BodyFault::Broken => Reason::CallerGone,
+            BodyError::TooLarge => Reason::TooLarge,
+            BodyError::Slow => Reason::SlowRequest,
+            BodyError::Broken => Reason::CallerGone,
         })?;
     let (call, mode) = if doc.doc.is_engine() {
         let endpoint = parse_endpoint(head, path)?;
@@ -239,10 +239,10 @@
 /// could turn a non-idempotent call into a repeatable one.
 fn select_class<'a>(doc: &'a Doc, head: &Parts, path: &str) -> Result<&'a Class, Reason> {
     let named = match header_text(head, CLASS_HEADER)? {
-        Some(name) => Some(doc.class_named(name).ok_or(Reason::UnknownClass)?),
+        Some(name) => Some(doc.class_by_name(name).ok_or(Reason::UnknownClass)?),
         None => None,
     };
-    let routed = doc.class_routed(head.method.as_str(), path);
+    let routed = doc.class_by_route(head.method.as_str(), path);
     match (routed, named) {
         (Some(routed), Some(named)) if routed != named => Err(Reason::UnknownClass),
         (Some(id), _) | (None, Some(id)) => Ok(doc.class(id)),
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -141,7 +141,7 @@
         entry
             .node
             .documents
-            .heard(&probe.service, result.answer.doc_version);
+            .note_version(&probe.service, result.answer.doc_version);
         if result.answer.state != AgentState::Ready {
             continue;
         }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::Response;
 use hyper::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue};
-use net::body::Gone;
+use net::body::ReceiverClosed;
 use net::{Body, BodySender, full, stream};
 use serde::{Deserialize, Serialize};
 use wire::{Completion, Part, RequestId};
@@ -289,9 +289,9 @@
                 tokio::select! {
                     biased;
                     sent = tokio::time::timeout(session.send_timeout(), send) => {
-                        sent.unwrap_or(Err(Gone))
+                        sent.unwrap_or(Err(ReceiverClosed))
                     }
-                    () = session.process_ended() => Err(Gone),
+                    () = session.process_ended() => Err(ReceiverClosed),
                 }
             }
             Ok(Part::End { count }) => {
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -11,7 +11,7 @@
 use resilience::{Fingerprint, Verdict};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use store::retry::around;
+use store::retry::jittered_interval;
 use store::rows::{CRASH_PREFIX, Crash, CrashKey, crash_key, decode, encode, trial_key};
 use store::{HttpPlatform, Put, Row, Table, Txn, WriteError};
 use tokio::sync::Notify;
@@ -190,7 +190,7 @@
             self.lock().expire(Instant::now());
             tokio::select! {
                 () = self.write_needed.notified() => {}
-                () = tokio::time::sleep(around(SYNC_INTERVAL)) => {}
+                () = tokio::time::sleep(jittered_interval(SYNC_INTERVAL)) => {}
             }
         }
     }
--- a/crates/entry/src/docs.rs
+++ b/crates/entry/src/docs.rs
@@ -5,18 +5,18 @@
 use hyper::Method;
 use net::Peer;
 use observe::{Event, emit};
-use store::docs::Offered;
+use store::docs::OfferResult;
 use wire::{DocText, PATH_DOC};
 
 /// Maximum size of a document message, in bytes.
-const MAX_DOC_MESSAGE: usize = conf::yaml::MAX_FILE + 4096;
+const MAX_DOC_MESSAGE: usize = conf::yaml::MAX_FILE_BYTES + 4096;
 
 /// Fetches or sends the document if the version of the agent differs from that of this entry.
 pub async fn sync_document(entry: &Entry, peer: &Peer, service: &str, agent_version: u64) {
     let documents = &entry.node.documents;
     let own_version = documents.version(service);
     if agent_version > own_version {
-        documents.heard(service, agent_version);
+        documents.note_version(service, agent_version);
         fetch(entry, peer, service).await;
     } else if agent_version < own_version {
         push(entry, peer, service).await;
@@ -37,7 +37,7 @@
     else {
         return;
     };
-    if text.service == service && entry.node.documents.offer(&text) == Offered::Taken {
+    if text.service == service && entry.node.documents.offer(&text) == OfferResult::Accepted {
         emit(&Event::DocInForce {
             service,
             version: text.version,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -26,7 +26,7 @@
 use plan::{DUTY, Duty};
 use state::Entry;
 use std::sync::Arc;
-use store::poll::AlsoRows;
+use store::poll::ExtraRows;
 use store::rows::lease_key;
 use tokio::sync::watch;
 
@@ -41,7 +41,7 @@
         .iter()
         .map(|s| lease_key(DUTY, s))
         .collect();
-    let node = Node::start(settings, Some(AlsoRows { keys, tx }), stop.clone());
+    let node = Node::start(settings, Some(ExtraRows { keys, tx }), stop.clone());
     let listener = node.listen()?;
     let entry = Entry::new(node.clone());
     let health = entry.clone();
@@ -74,12 +74,12 @@
     tokio::time::sleep(limits.linger).await;
     serving.stop();
     // The server task ends after its last connection, which may still deliver another request.
-    let unfinished = node.drained(&mut server).await;
+    let unfinished = node.drain(&mut server).await;
     emit(&Event::Stopped { unfinished });
     // A panic of the task was already reported. The wait is bounded, as a caller might never read
     // its response.
     if !server.is_finished() {
-        let _ = tokio::time::timeout(node.last_answers(), server).await;
+        let _ = tokio::time::timeout(node.final_responses_timeout(), server).await;
     }
     for duty in duties {
         let _ = duty.await;
@@ -113,7 +113,7 @@
 /// Removes agents that are no longer listed in any document, whenever a document changes.
 async fn remove_unlisted_agents(entry: Arc<Entry>) {
     let documents = &entry.node.documents;
-    let mut changed = documents.watch();
+    let mut changed = documents.subscribe();
     // The sender is owned by `documents`, so the loop runs until the process exits.
     while changed.changed().await.is_ok() {
         let docs = documents
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -132,7 +132,7 @@
             // Checked first: a part that is ready is sent even if the process is about to exit.
             biased;
             next = self.next_from_attempts() => next,
-            () = node.ended() => self.end_by_shutdown(),
+            () = node.drain_ended() => self.end_by_shutdown(),
         }
     }
 
@@ -152,7 +152,7 @@
 
     /// Waits until the time for running requests is over in a stopping process.
     pub async fn process_ended(&self) {
-        self.entry.node.ended().await;
+        self.entry.node.drain_ended().await;
     }
 
     async fn next_from_attempts(&mut self) -> Result<Part, Refusal> {
@@ -278,7 +278,7 @@
 
     /// Time left until the process exits, if it is stopping.
     fn process_left(&self) -> Option<Duration> {
-        let ends = self.entry.node.ends()?;
+        let ends = self.entry.node.stop_deadline()?;
         Some(ends.saturating_duration_since(Instant::now()))
     }
 
@@ -368,7 +368,7 @@
     async fn agent_connection_broke(&self) -> Step {
         let name = self.upstream.as_deref().unwrap_or_default();
         let doc = &self.req.doc.doc;
-        let agent = doc.upstream_named(name).map(|id| doc.upstream(id).agent);
+        let agent = doc.upstream_by_name(name).map(|id| doc.upstream(id).agent);
         let Some(agent) = agent else {
             return Step::Lost(Reason::PeerLost);
         };
@@ -453,7 +453,7 @@
         } else {
             Outcome::Unknown
         };
-        let reason = if self.entry.node.has_ended() {
+        let reason = if self.entry.node.has_drain_ended() {
             Reason::ProcessEnds
         } else {
             Reason::CallerGone
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -14,9 +14,9 @@
 use crate::serve::{Call, Standin, json, status};
 use batch::Batch;
 use cache::PrefixCache;
-use engine::dialect::{
-    CompletionBody, KvBlob, PATH_CANCEL, PATH_COMPLETIONS, PATH_EVENTS, PATH_EXPORT, PATH_IMPORT,
-    PATH_LOAD, PATH_ORDER, PATH_STATE,
+use engine::protocol::{
+    CompletionBody, KvBlob, PATH_CACHE_EVENTS, PATH_CANCEL, PATH_COMPLETIONS, PATH_EXPORT,
+    PATH_IMPORT, PATH_LOAD, PATH_ORDER, PATH_STATE,
 };
 use hyper::{Response, StatusCode};
 use net::Body;
@@ -181,7 +181,7 @@
             PATH_COMPLETIONS => self.complete(&call),
             PATH_STATE => json(&self.lock().orders.state()),
             PATH_LOAD => json(&self.lock().batch.report()),
-            PATH_EVENTS => json(&self.lock().cache.events(call.query.parse().unwrap_or(0))),
+            PATH_CACHE_EVENTS => json(&self.lock().cache.events(call.query.parse().unwrap_or(0))),
             PATH_ORDER => self.order(&call),
             PATH_CANCEL => {
                 self.lock().batch.cancel(&call.query);
--- a/crates/fakes/src/engine/batch.rs
+++ b/crates/fakes/src/engine/batch.rs
@@ -5,7 +5,7 @@
 use crate::answer::token_of;
 use crate::fault::FaultGate;
 use bytes::Bytes;
-use engine::dialect::{Choice, Chunk, CompletionBody, Load, Usage};
+use engine::protocol::{Choice, Chunk, CompletionBody, Load, Usage};
 use hyper::Response;
 use net::{Body, BodySender, stream};
 use std::collections::VecDeque;
--- a/crates/fakes/src/engine/cache.rs
+++ b/crates/fakes/src/engine/cache.rs
@@ -1,6 +1,6 @@
 //! The prefix cache of the engine stand-in.
 
-use engine::dialect::{CacheEvent, CacheEvents, KvBlob};
+use engine::protocol::{CacheEvent, CacheEvents, KvBlob};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 use wire::prefix;
--- a/crates/fakes/src/engine/orders.rs
+++ b/crates/fakes/src/engine/orders.rs
@@ -3,7 +3,7 @@
 use super::batch::Batch;
 use super::cache::PrefixCache;
 use crate::clock::now_ms;
-use engine::dialect::{EngineState, Order, OrderAnswer};
+use engine::protocol::{EngineState, Order, OrderAnswer};
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 use wire::Role;
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -7,7 +7,7 @@
 use crate::quota::Grant;
 use crate::serve::Outlook;
 use crate::state::{Gateway, RunningGuard};
-use observe::{Event, Labels, Seconds, UnderConfig, emit};
+use observe::{ConfigContext, Event, Labels, Latency, emit};
 use resilience::Fingerprint;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -175,7 +175,7 @@
             work: self.work.map(|work| work.to_string()),
             route: self.route.as_deref(),
             service: self.service.as_deref(),
-            under: &UnderConfig {
+            under: &ConfigContext {
                 tenant: self.tenant.as_deref(),
                 key_removed_by: self.key_removed_by,
                 config: self.config,
@@ -216,10 +216,10 @@
             tenant: self.tenant.as_deref().unwrap_or(NONE),
         };
         let metrics = &self.gateway.metrics;
-        metrics.count(who, outcome.name(), reason.unwrap_or(NONE));
-        metrics.time(who, Seconds::Total, total.as_secs_f64());
+        metrics.count_request(who, outcome.name(), reason.unwrap_or(NONE));
+        metrics.observe_latency(who, Latency::Total, total.as_secs_f64());
         if let Some(first) = self.first {
-            metrics.time(who, Seconds::First, first.as_secs_f64());
+            metrics.observe_latency(who, Latency::FirstByte, first.as_secs_f64());
         }
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -16,7 +16,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONTENT_ENCODING, HeaderMap};
 use hyper::{Request, StatusCode};
-use net::h1::Returned;
+use net::h1::PooledConnection;
 use net::{Body, CallError, full};
 use observe::{Event, emit};
 use platform::header::{self, Step, ToWorker};
@@ -63,7 +63,7 @@
 pub struct Rest {
     /// The body.
     pub body: Incoming,
-    conn: Returned,
+    conn: PooledConnection,
     idle: Duration,
 }
 
@@ -71,7 +71,7 @@
     /// Gives the connection back. Only after the body's end.
     pub fn done(self) {
         drop(self.body);
-        self.conn.keep(Some(self.idle));
+        self.conn.release(Some(self.idle));
     }
 }
 
@@ -184,7 +184,7 @@
         }
     };
     account.attempts += 1;
-    let (res, conn) = answer.split();
+    let (res, conn) = answer.into_parts();
     let (head, body) = res.into_parts();
     let said = header::from_worker(&head.headers, &call.incoming.id);
     if !said.is_ours {
@@ -199,7 +199,7 @@
         // NB: the body of a rejection is short; the connection is kept if it
         // is already there.
         if body.is_end_stream() {
-            conn.keep(Some(idle));
+            conn.release(Some(idle));
         }
         watch.cancel();
         (account.may_have_run, account.begin) = (had_run, begin);
@@ -261,7 +261,7 @@
     let is_large = rest.body.size_hint().lower() > MAX_GATHERED;
     if !call.target().route.kind.is_stream() && !is_large {
         let whole = rest.body.collect().await.map_err(|e| e.to_string())?;
-        rest.conn.keep(Some(rest.idle));
+        rest.conn.release(Some(rest.idle));
         return Ok((Some(whole.to_bytes()), None));
     }
     loop {
--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -132,7 +132,7 @@
             return None;
         }
     };
-    let (res, conn) = answer.split();
+    let (res, conn) = answer.into_parts();
     let (head, body) = res.into_parts();
     if head.status != StatusCode::OK
         || !header::from_worker(&head.headers, &call.incoming.id).is_ours
@@ -153,7 +153,7 @@
     match parsed {
         Ok(prefilled) => {
             lives(gateway, plan, since);
-            conn.keep(Some(idle_time(&head.headers)));
+            conn.release(Some(idle_time(&head.headers)));
             measured(gateway, call, plan, since.elapsed());
             Some(prefilled)
         }
--- a/crates/gateway/src/follow/unreadable.rs
+++ b/crates/gateway/src/follow/unreadable.rs
@@ -44,7 +44,7 @@
             return;
         }
         let reason = row.why.name();
-        metrics.unreadable(reason);
+        metrics.count_unreadable_entry(reason);
         if telling == Telling::Count {
             return;
         }
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -42,13 +42,13 @@
         READY_PATH => (StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
         METRICS_PATH => {
             let metrics = &gateway.metrics;
-            metrics.bytes("store", gateway.store_bytes.bytes());
-            metrics.bytes("peers", gateway.peer_bytes.bytes());
-            metrics.bytes("upstreams", gateway.upstream_bytes.bytes());
+            metrics.set_control_bytes("store", gateway.store_bytes.bytes());
+            metrics.set_control_bytes("peers", gateway.peer_bytes.bytes());
+            metrics.set_control_bytes("upstreams", gateway.upstream_bytes.bytes());
             for (labels, count) in gateway.store_calls.counts() {
-                metrics.store_calls(labels.table, labels.kind.name(), labels.end.name(), count);
+                metrics.set_store_calls(labels.table, labels.kind.name(), labels.end.name(), count);
             }
-            (StatusCode::OK, metrics.text())
+            (StatusCode::OK, metrics.encode())
         }
         _ => (StatusCode::NOT_FOUND, Vec::new()),
     };
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -22,7 +22,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, Uri};
 use net::Body;
-use net::server::{BodyFault, read_body};
+use net::server::{BodyError, read_body};
 use platform::{Incoming, header};
 use resilience::Fingerprint;
 use std::sync::{Arc, OnceLock};
@@ -154,9 +154,9 @@
 
 async fn read_whole(body: IncomingBody, limit: usize, left: Duration) -> Result<Bytes, Reason> {
     read_body(body, limit, left).await.map_err(|e| match e {
-        BodyFault::TooLarge => Reason::TooLarge,
-        BodyFault::Slow => Reason::SlowBody,
-        BodyFault::Broken => Reason::BrokenBody,
+        BodyError::TooLarge => Reason::TooLarge,
+        BodyError::Slow => Reason::SlowBody,
+        BodyError::Broken => Reason::BrokenBody,
     })
 }
 
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -366,7 +366,7 @@
 fn each_version_of_an_unreadable_entry_counts_once() {
     let gateway = gateway_with(&[]);
     let counted = || {
-        let text = String::from_utf8(gateway.metrics.text()).unwrap();
+        let text = String::from_utf8(gateway.metrics.encode()).unwrap();
         let line = text
             .lines()
             .find(|l| l.starts_with("arbutusquay_unreadable_entries_total"));
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -16,23 +16,23 @@
 /// [`BodySender::finish`], the body breaks off and the other side sees it.
 #[derive(Debug)]
 pub struct BodySender {
-    tx: mpsc::Sender<Piece>,
+    tx: mpsc::Sender<Message>,
 }
 
 #[derive(Debug)]
-enum Piece {
+enum Message {
     Data(Bytes),
     End,
 }
 
 /// The receiver has gone away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Gone;
+pub struct ReceiverClosed;
 
 /// Sees the receiver of a body go away.
 #[derive(Debug)]
 pub struct Watcher {
-    tx: mpsc::Sender<Piece>,
+    tx: mpsc::Sender<Message>,
 }
 
 impl Watcher {
@@ -44,16 +44,19 @@
 
 impl BodySender {
     /// Sends a piece, waiting while the receiver is behind.
-    pub async fn send(&self, data: Bytes) -> Result<(), Gone> {
-        self.tx.send(Piece::Data(data)).await.map_err(|_| Gone)
+    pub async fn send(&self, data: Bytes) -> Result<(), ReceiverClosed> {
+        self.tx
+            .send(Message::Data(data))
+            .await
+            .map_err(|_| ReceiverClosed)
     }
 
     /// Sends a piece if there is room; says whether the receiver is still there.
-    pub fn try_send(&self, data: Bytes) -> Result<bool, Gone> {
-        match self.tx.try_send(Piece::Data(data)) {
+    pub fn try_send(&self, data: Bytes) -> Result<bool, ReceiverClosed> {
+        match self.tx.try_send(Message::Data(data)) {
             Ok(()) => Ok(true),
             Err(mpsc::error::TrySendError::Full(_)) => Ok(false),
-            Err(mpsc::error::TrySendError::Closed(_)) => Err(Gone),
+            Err(mpsc::error::TrySendError::Closed(_)) => Err(ReceiverClosed),
         }
     }
 
@@ -70,12 +73,12 @@
     /// Ends the body as whole.
     pub async fn finish(self) {
         // NB: a receiver that went away no longer cares whether it was whole.
-        let _ = self.tx.send(Piece::End).await;
+        let _ = self.tx.send(Message::End).await;
     }
 
     /// Ends the body as whole if there is room; else the body breaks off.
     pub fn try_finish(self) {
-        let _ = self.tx.try_send(Piece::End);
+        let _ = self.tx.try_send(Message::End);
     }
 
     /// A handle that sees the receiver go away.
@@ -87,7 +90,7 @@
 }
 
 struct Streamed {
-    rx: mpsc::Receiver<Piece>,
+    rx: mpsc::Receiver<Message>,
     done: bool,
 }
 
@@ -102,12 +105,12 @@
         if self.done {
             return Poll::Ready(None);
         }
-        let Poll::Ready(piece) = self.rx.poll_recv(cx) else {
+        let Poll::Ready(message) = self.rx.poll_recv(cx) else {
             return Poll::Pending;
         };
-        match piece {
-            Some(Piece::Data(data)) => Poll::Ready(Some(Ok(Frame::data(data)))),
-            Some(Piece::End) => {
+        match message {
+            Some(Message::Data(data)) => Poll::Ready(Some(Ok(Frame::data(data)))),
+            Some(Message::End) => {
                 self.done = true;
                 Poll::Ready(None)
             }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -12,7 +12,7 @@
 /// as broken. Without it a cut link holds a request until its deadline; ten
 /// times the longest round trip within a region leaves room for a lost packet
 /// or two, whose retransmissions come after 0.2 and 0.6 s.
-const UNACKED_TIMEOUT: Duration = Duration::from_millis(1000);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// An open connection, as hyper takes it.
 pub type Connection = TokioIo<Metered<TcpStream>>;
@@ -31,7 +31,7 @@
     tcp.set_nodelay(true)
         .map_err(|e| CallError::NotSent(e.to_string()))?;
     SockRef::from(&tcp)
-        .set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
+        .set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
         .map_err(|e| CallError::NotSent(e.to_string()))?;
     Ok(TokioIo::new(Metered::new(tcp, meter.clone())))
 }
--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -33,45 +33,45 @@
 struct Idle {
     conn: SendRequest<Body>,
     /// Until when it may be used; the other side may close it later.
-    until: Option<Instant>,
+    usable_until: Option<Instant>,
 }
 
 /// An answer whose body is still to come, with the connection to give back.
 #[derive(Debug)]
-pub struct Answer {
+pub struct PooledResponse {
     /// Status, headers and body.
     pub response: Response<Incoming>,
-    conn: Returned,
+    conn: PooledConnection,
 }
 
 /// A connection in use, to be given back to its pool.
 #[derive(Debug)]
-pub struct Returned {
+pub struct PooledConnection {
     conn: SendRequest<Body>,
     pool: Pool,
 }
 
-impl Answer {
+impl PooledResponse {
     /// Gives the connection back once the body was read to its end.
-    pub fn done(self) {
+    pub fn release(self) {
         drop(self.response);
-        self.conn.keep(None);
+        self.conn.release(None);
     }
 
     /// The answer apart from its connection.
-    pub fn split(self) -> (Response<Incoming>, Returned) {
+    pub fn into_parts(self) -> (Response<Incoming>, PooledConnection) {
         (self.response, self.conn)
     }
 }
 
-impl Returned {
+impl PooledConnection {
     /// Gives the connection back, for use within a time if the other side closes
     /// it after one. Only for connections whose last body was read to its end.
-    pub fn keep(self, idle: Option<Duration>) {
-        let until = idle.map(|idle| Instant::now() + idle);
+    pub fn release(self, idle_timeout: Option<Duration>) {
+        let usable_until = idle_timeout.map(|timeout| Instant::now() + timeout);
         self.pool.put(Idle {
             conn: self.conn,
-            until,
+            usable_until,
         });
     }
 }
@@ -105,23 +105,25 @@
 
     /// Whether a kept connection is still open, as far as is known.
     pub fn has_open(&self) -> bool {
-        let kept = self.idle.lock().expect("no panic while locked");
-        kept.iter().any(|idle| idle.conn.is_ready())
+        let idle_conns = self.idle.lock().expect("no panic while locked");
+        idle_conns.iter().any(|idle| idle.conn.is_ready())
     }
 
     fn put(&self, idle: Idle) {
-        let mut kept = self.idle.lock().expect("no panic while locked");
-        if kept.len() < MAX_IDLE && !idle.conn.is_closed() {
-            kept.push(idle);
+        let mut idle_conns = self.idle.lock().expect("no panic while locked");
+        if idle_conns.len() < MAX_IDLE && !idle.conn.is_closed() {
+            idle_conns.push(idle);
         }
     }
 
     fn take(&self) -> Option<SendRequest<Body>> {
         let now = Instant::now();
-        let mut kept = self.idle.lock().expect("no panic while locked");
-        while let Some(idle) = kept.pop() {
-            let is_fresh = idle.until.is_none_or(|until| now < until);
-            if is_fresh && idle.conn.is_ready() {
+        let mut idle_conns = self.idle.lock().expect("no panic while locked");
+        while let Some(idle) = idle_conns.pop() {
+            let is_usable = idle
+                .usable_until
+                .is_none_or(|usable_until| now < usable_until);
+            if is_usable && idle.conn.is_ready() {
                 return Some(idle.conn);
             }
         }
@@ -135,11 +137,11 @@
 
     async fn open(&self) -> Result<SendRequest<Body>, CallError> {
         let io = connect(self.addr, self.timeout, &self.meter).await?;
-        shake_hands(io).await
+        http1_handshake(io).await
     }
 
     /// Sends a request that the other side may see twice.
-    pub async fn send(&self, req: Request<Body>) -> Result<Answer, CallError> {
+    pub async fn send(&self, req: Request<Body>) -> Result<PooledResponse, CallError> {
         let conn = match self.take() {
             Some(conn) => conn,
             None => self.open().await?,
@@ -150,22 +152,22 @@
     /// Sends a request on a kept connection, or on a new one if none is kept or
     /// the kept one turns out to be closed before anything was written to it.
     /// The other side sees the request at most once.
-    pub async fn send_once(&self, mut req: Request<Body>) -> Result<Answer, CallError> {
+    pub async fn send_once(&self, mut req: Request<Body>) -> Result<PooledResponse, CallError> {
         if let Some(mut conn) = self.take() {
             match conn.try_send_request(req).await {
-                Ok(response) => return Ok(self.answer(conn, response)),
+                Ok(response) => return Ok(self.pooled(conn, response)),
                 Err(mut e) => match e.take_message() {
                     Some(unsent) => req = unsent,
                     None => return Err(CallError::MaybeSent(e.into_error().to_string())),
                 },
             }
         }
-        self.send_fresh(req).await
+        self.send_on_new(req).await
     }
 
     /// Sends a request on a new connection. An idle one may have been closed by
     /// the other side, and then nobody can tell whether the request was seen.
-    pub async fn send_fresh(&self, req: Request<Body>) -> Result<Answer, CallError> {
+    pub async fn send_on_new(&self, req: Request<Body>) -> Result<PooledResponse, CallError> {
         let conn = self.open().await?;
         self.send_on(conn, req).await
     }
@@ -174,9 +176,9 @@
         &self,
         mut conn: SendRequest<Body>,
         req: Request<Body>,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<PooledResponse, CallError> {
         match conn.try_send_request(req).await {
-            Ok(response) => Ok(self.answer(conn, response)),
+            Ok(response) => Ok(self.pooled(conn, response)),
             Err(mut e) => {
                 let is_unsent = e.take_message().is_some();
                 let why = e.into_error().to_string();
@@ -188,11 +190,11 @@
         }
     }
 
-    fn answer(&self, conn: SendRequest<Body>, response: Response<Incoming>) -> Answer {
+    fn pooled(&self, conn: SendRequest<Body>, response: Response<Incoming>) -> PooledResponse {
         let pool = self.clone();
-        Answer {
+        PooledResponse {
             response,
-            conn: Returned { conn, pool },
+            conn: PooledConnection { conn, pool },
         }
     }
 
@@ -204,15 +206,15 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let whole = async {
-            let mut answer = self.send(req).await?;
-            let status = answer.response.status();
-            let body = Limited::new(answer.response.body_mut(), limit)
+            let mut pooled = self.send(req).await?;
+            let status = pooled.response.status();
+            let body = Limited::new(pooled.response.body_mut(), limit)
                 .collect()
                 .await;
             let body = body
                 .map_err(|e| CallError::MaybeSent(e.to_string()))?
                 .to_bytes();
-            answer.done();
+            pooled.release();
             Ok((status, body))
         };
         match tokio::time::timeout(timeout, whole).await {
@@ -222,7 +224,7 @@
     }
 }
 
-async fn shake_hands(io: Connection) -> Result<SendRequest<Body>, CallError> {
+async fn http1_handshake(io: Connection) -> Result<SendRequest<Body>, CallError> {
     let (conn, driver) = handshake(io)
         .await
         .map_err(|e| CallError::NotSent(e.to_string()))?;
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -1,4 +1,4 @@
-//! A kept HTTP/2 connection to a peer.
+//! A current HTTP/2 connection to a peer.
 
 use crate::body::{Body, full};
 use crate::client::connect;
@@ -17,7 +17,7 @@
 
 /// Time between pings on a connection in use, and the longest wait for one's
 /// answer. A peer that is paused or cut off is given up after both.
-const PING_EVERY: Duration = Duration::from_secs(2);
+const PING_INTERVAL: Duration = Duration::from_secs(2);
 const PING_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// A peer, and the connection to it while there is one.
@@ -54,15 +54,15 @@
     async fn open(&self) -> Result<SendRequest<Body>, CallError> {
         // Held across the connect on purpose: the others wait for this one
         // connection and don't each open their own. The connect is bounded.
-        let mut kept = self.conn.lock().await;
-        if let Some(conn) = kept.as_ref().filter(|c| !c.is_closed()) {
+        let mut current = self.conn.lock().await;
+        if let Some(conn) = current.as_ref().filter(|c| !c.is_closed()) {
             return Ok(conn.clone());
         }
-        *kept = None;
+        *current = None;
         let io = connect(self.addr, self.timeout, &self.meter).await?;
         let handshake = Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
-            .keep_alive_interval(PING_EVERY)
+            .keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT)
             .initial_stream_window_size(1 << 20)
             .initial_connection_window_size(8 << 20)
@@ -72,7 +72,7 @@
             Err(_) => return Err(CallError::NotSent("handshake took too long".into())),
         };
         tokio::spawn(driver);
-        *kept = Some(conn.clone());
+        *current = Some(conn.clone());
         Ok(conn)
     }
 
@@ -106,9 +106,9 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let whole = async {
-            let answer = self.send(self.request(method, path, body)).await?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), limit).collect().await;
+            let response = self.send(self.request(method, path, body)).await?;
+            let status = response.status();
+            let body = Limited::new(response.into_body(), limit).collect().await;
             let body = body.map_err(|e| CallError::MaybeSent(e.to_string()))?;
             Ok((status, body.to_bytes()))
         };
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -18,13 +18,13 @@
 use tokio::sync::watch;
 
 /// Connections that may wait to be taken.
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 /// Streams that one peer may have open on its connection.
 const MAX_STREAMS: u32 = 4096;
 /// Least bytes of a head that hyper can be told to allow.
-const MIN_HEAD: usize = 8192;
+const MIN_HEAD_BYTES: usize = 8192;
 /// Pause after a failed accept, such as one for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Binds an address exclusively: while this process lives, paused or not, no
 /// other can bind it.
@@ -37,7 +37,7 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
@@ -106,7 +106,7 @@
 
     /// The size, within what hyper can do.
     fn bytes(&self) -> usize {
-        self.bytes.load(Ordering::Relaxed).max(MIN_HEAD)
+        self.bytes.load(Ordering::Relaxed).max(MIN_HEAD_BYTES)
     }
 }
 
@@ -141,28 +141,28 @@
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<Body>> + Send + 'static,
     {
-        let (live, mut ended) = tokio::sync::mpsc::channel::<Infallible>(1);
+        let (open_guard, mut all_closed) = tokio::sync::mpsc::channel::<Infallible>(1);
         loop {
             let conn = tokio::select! {
                 conn = listener.accept() => conn,
                 () = self.stop.stopped() => break,
             };
             let Ok((tcp, _)) = conn else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let (server, handler, live) = (self.clone(), handler.clone(), live.clone());
+            let (server, handler, open_guard) = (self.clone(), handler.clone(), open_guard.clone());
             tokio::spawn(async move {
-                server.connection(tcp, handler).await;
-                drop(live);
+                server.serve_connection(tcp, handler).await;
+                drop(open_guard);
             });
         }
-        drop((listener, live));
+        drop((listener, open_guard));
         // No message is ever sent: this waits for the last connection's task.
-        let _ = ended.recv().await;
+        let _ = all_closed.recv().await;
     }
 
-    async fn connection<H, F>(&self, tcp: TcpStream, handler: H)
+    async fn serve_connection<H, F>(&self, tcp: TcpStream, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<Body>> + Send + 'static,
@@ -170,28 +170,28 @@
         // A failure here means that the peer has gone already.
         let _ = tcp.set_nodelay(true);
         let service = hyper::service::service_fn(move |req| {
-            let answer = handler(req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(req);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let io = TokioIo::new(tcp);
         // A connection's error is the peer's affair; its requests were dropped
         // with it, and each notes that itself.
         match self.protocol {
             Protocol::Http1 => {
-                let is_late = self.drain.is_stopped();
-                let mut builder = self.http1();
-                builder.keep_alive(!is_late);
+                let is_draining = self.drain.is_stopped();
+                let mut builder = self.http1_builder();
+                builder.keep_alive(!is_draining);
                 let conn = builder.serve_connection(io, service);
                 tokio::pin!(conn);
                 tokio::select! {
                     _ = conn.as_mut() => return,
-                    () = self.drain.stopped(), if !is_late => conn.as_mut().graceful_shutdown(),
+                    () = self.drain.stopped(), if !is_draining => conn.as_mut().graceful_shutdown(),
                     () = self.stop.stopped() => conn.as_mut().graceful_shutdown(),
                 }
                 let _ = conn.await;
             }
             Protocol::Any => {
-                let builder = self.any();
+                let builder = self.any_builder();
                 let conn = builder.serve_connection(io, service);
                 tokio::pin!(conn);
                 tokio::select! {
@@ -204,7 +204,7 @@
         }
     }
 
-    fn http1(&self) -> http1::Builder {
+    fn http1_builder(&self) -> http1::Builder {
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
@@ -213,7 +213,7 @@
         builder
     }
 
-    fn any(&self) -> Builder<TokioExecutor> {
+    fn any_builder(&self) -> Builder<TokioExecutor> {
         let mut builder = Builder::new(TokioExecutor::new());
         builder
             .http1()
@@ -233,7 +233,7 @@
 
 /// Why a request's body wasn't read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// Over the limit.
     TooLarge,
     /// Not there within the time.
@@ -247,11 +247,11 @@
     body: Incoming,
     limit: usize,
     timeout: Duration,
-) -> Result<Bytes, BodyFault> {
+) -> Result<Bytes, BodyError> {
     match tokio::time::timeout(timeout, Limited::new(body, limit).collect()).await {
-        Err(_) => Err(BodyFault::Slow),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(BodyFault::TooLarge),
-        Ok(Err(_)) => Err(BodyFault::Broken),
+        Err(_) => Err(BodyError::Slow),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Ok(Err(_)) => Err(BodyError::Broken),
         Ok(Ok(body)) => Ok(body.to_bytes()),
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,22 +14,22 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
-use store::poll::{AlsoRows, DocPoll, LeavingHosts, poll_hosts};
+use store::poll::{DocPoll, ExtraRows, LeavingHosts, poll_hosts};
 use store::{Documents, HttpPlatform};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
 /// Largest head on the admin address.
-const ADMIN_HEAD: usize = 16 << 10;
+const ADMIN_HEAD_BYTES: usize = 16 << 10;
 /// Longest wait for a head on the admin address.
-const ADMIN_TIMEOUT: Duration = Duration::from_secs(10);
+const ADMIN_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between looks at whether running requests have ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait, once the time of running requests is up, for callers and peers to take
 /// what was sent and for the last claims. An answer that nobody takes holds no process.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
+const FINAL_RESPONSES_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest wait for the last records when a process ends.
-const LAST_RECORDS: Duration = Duration::from_secs(5);
+const FINAL_RECORDS_TIMEOUT: Duration = Duration::from_secs(5);
 
 quick_error! {
     /// Why a process can't start.
@@ -70,14 +70,14 @@
     running: AtomicU64,
     stopping: OnceLock<Stopping>,
     /// Given when the time of running requests is up.
-    ended: Stop,
+    drain_ended: Stop,
 }
 
 /// A stop that has begun.
 #[derive(Debug, Clone, Copy)]
 struct Stopping {
     since: Instant,
-    ends: Instant,
+    deadline: Instant,
 }
 
 /// Counts a request as running until it is dropped.
@@ -92,7 +92,7 @@
 
 impl Node {
     /// Starts the parts. Documents are polled along with `also`.
-    pub fn start(settings: Settings, also: Option<AlsoRows>, stop: Stop) -> Arc<Self> {
+    pub fn start(settings: Settings, extra_rows: Option<ExtraRows>, stop: Stop) -> Arc<Self> {
         let id = format!("{}-{:012x}", settings.name, fastrand::u64(..) >> 16);
         let platform_bytes = Meter::default();
         let platform = HttpPlatform::metered(&settings.platform, &platform_bytes);
@@ -115,20 +115,20 @@
             stop,
             running: AtomicU64::new(0),
             stopping: OnceLock::new(),
-            ended: Stop::default(),
+            drain_ended: Stop::default(),
             platform,
             settings,
         });
-        node.clone().spawn_polls(also);
+        node.clone().spawn_polls(extra_rows);
         node
     }
 
-    fn spawn_polls(self: Arc<Self>, also: Option<AlsoRows>) {
+    fn spawn_polls(self: Arc<Self>, extra_rows: Option<ExtraRows>) {
         let limits = &self.settings.limits;
         let poll = DocPoll {
             documents: self.documents.clone(),
-            every: limits.doc_poll,
-            also,
+            interval: limits.doc_poll,
+            extra_rows,
             nudge: self.nudge.clone(),
         };
         tokio::spawn(poll.run(self.platform.clone()));
@@ -139,12 +139,13 @@
         );
         tokio::spawn(hosts);
         let leaving = self.leaving.clone();
-        tokio::spawn(async move { leaving.keep_pulse().await });
+        tokio::spawn(async move { leaving.detect_pauses().await });
         tokio::spawn(async move {
-            let mut changed = self.documents.watch();
+            let mut changed = self.documents.subscribe();
             loop {
                 for service in self.documents.services() {
-                    self.metrics.doc(&service, self.documents.version(&service));
+                    self.metrics
+                        .set_document_version(&service, self.documents.version(&service));
                 }
                 // The sender lives in `documents`, which `self` holds.
                 let _ = changed.changed().await;
@@ -153,7 +154,7 @@
     }
 
     /// Counts a request as running.
-    pub fn begin(self: &Arc<Self>) -> RunningGuard {
+    pub fn begin_request(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::SeqCst);
         RunningGuard(self.clone())
     }
@@ -164,64 +165,64 @@
     }
 
     /// Notes that the process stops from now on, and may run requests for so long yet.
-    pub fn begin_stop(&self, within: Duration) {
+    pub fn begin_stop(&self, timeout: Duration) {
         let since = Instant::now();
-        let ends = since + within;
+        let deadline = since + timeout;
         // A second call changes nothing: the end stands once it was told.
-        let _ = self.stopping.set(Stopping { since, ends });
+        let _ = self.stopping.set(Stopping { since, deadline });
     }
 
     /// When requests that still run are ended, if the process is stopping.
-    pub fn ends(&self) -> Option<Instant> {
-        self.stopping.get().map(|s| s.ends)
+    pub fn stop_deadline(&self) -> Option<Instant> {
+        self.stopping.get().map(|s| s.deadline)
     }
 
     /// How long after the stop began something came, if it came after.
-    pub fn since_stop(&self, came: Instant) -> Option<Duration> {
-        came.checked_duration_since(self.stopping.get()?.since)
+    pub fn time_since_stop(&self, at: Instant) -> Option<Duration> {
+        at.checked_duration_since(self.stopping.get()?.since)
     }
 
     /// Waits until the time of running requests is up; for ever if it never is.
-    pub async fn ended(&self) {
-        self.ended.stopped().await;
+    pub async fn drain_ended(&self) {
+        self.drain_ended.stopped().await;
     }
 
     /// Whether the time of running requests is up.
-    pub fn has_ended(&self) -> bool {
-        self.ended.is_stopped()
+    pub fn has_drain_ended(&self) -> bool {
+        self.drain_ended.is_stopped()
     }
 
     /// Waits until `idle` is over and nothing runs, or the time of a stop is up, and
     /// ends what runs then. Gives how many that were.
-    pub async fn drained(&self, idle: impl Future) -> u64 {
+    pub async fn drain(&self, idle: impl Future) -> u64 {
         let done = async {
             idle.await;
             while self.running() > 0 {
-                tokio::time::sleep(DRAIN_LOOK).await;
+                tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             }
         };
         // Past the end the count below tells what is left.
-        let _ = tokio::time::timeout(self.left(), done).await;
+        let _ = tokio::time::timeout(self.time_left(), done).await;
         let unfinished = self.running();
-        self.ended.stop();
+        self.drain_ended.stop();
         unfinished
     }
 
     /// Longest wait for what comes after a stop's last request.
-    pub fn last_answers(&self) -> Duration {
-        self.left() + LAST_ANSWERS
+    pub fn final_responses_timeout(&self) -> Duration {
+        self.time_left() + FINAL_RESPONSES_TIMEOUT
     }
 
     /// What is left until a stop's end.
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         let now = Instant::now();
-        let ends = self.ends().unwrap_or(now);
-        ends.saturating_duration_since(now)
+        let deadline = self.stop_deadline().unwrap_or(now);
+        deadline.saturating_duration_since(now)
     }
 
     /// Writes the last records, within a bounded time.
     pub async fn close_records(&self) {
-        self.recorder.close(LAST_RECORDS).await;
+        self.recorder.close(FINAL_RECORDS_TIMEOUT).await;
     }
 
     /// Serves health and metrics. `ready` says whether the process takes work.
@@ -232,33 +233,35 @@
         let addr = self.settings.admin;
         let listener = bind(addr).map_err(|e| StartError::Bind(addr, e))?;
         let server = Server {
-            head: HeadLimits::new(ADMIN_TIMEOUT, ADMIN_HEAD),
+            head: HeadLimits::new(ADMIN_HEAD_TIMEOUT, ADMIN_HEAD_BYTES),
             protocol: Protocol::Any,
             drain: Stop::default(),
             stop: Stop::default(),
         };
         let node = self.clone();
         tokio::spawn(server.run(listener, move |req| {
-            let answer = node.admin(&req, &ready);
-            async move { answer }
+            let response = node.admin_response(&req, &ready);
+            async move { response }
         }));
         Ok(())
     }
 
-    fn admin(&self, req: &Request<Incoming>, ready: &impl Fn() -> bool) -> Response<Body> {
+    fn admin_response(&self, req: &Request<Incoming>, ready: &impl Fn() -> bool) -> Response<Body> {
         let (status, text) = match req.uri().path() {
             "/health" if ready() => (StatusCode::OK, b"ready\n".to_vec()),
             "/health" => (StatusCode::SERVICE_UNAVAILABLE, b"not ready\n".to_vec()),
             "/metrics" => {
-                self.metrics.bytes("platform", self.platform_bytes.bytes());
-                self.metrics.bytes("peers", self.peer_bytes.bytes());
-                (StatusCode::OK, self.metrics.text())
+                self.metrics
+                    .set_control_bytes("platform", self.platform_bytes.bytes());
+                self.metrics
+                    .set_control_bytes("peers", self.peer_bytes.bytes());
+                (StatusCode::OK, self.metrics.encode())
             }
             _ => (StatusCode::NOT_FOUND, b"not found\n".to_vec()),
         };
-        let mut answer = Response::new(full(text));
-        *answer.status_mut() = status;
-        answer
+        let mut response = Response::new(full(text));
+        *response.status_mut() = status;
+        response
     }
 
     /// Binds the process's main address and says so in the log.
@@ -276,11 +279,11 @@
     /// Gives the stop signal once this process's host is called leaving.
     pub async fn stop_when_leaving(self: Arc<Self>) {
         while !self.leaving.contains(&self.settings.host) {
-            tokio::time::sleep(self.settings.limits.host_poll.min(LEAVING_LOOK)).await;
+            tokio::time::sleep(self.settings.limits.host_poll.min(LEAVING_CHECK_INTERVAL)).await;
         }
         self.stop.stop();
     }
 }
 
 /// Time between looks at whether this host is leaving, in memory only.
-const LEAVING_LOOK: Duration = Duration::from_millis(100);
+const LEAVING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -496,7 +496,7 @@
         service: Option<&'a str>,
         /// By what it was admitted or refused.
         #[serde(flatten)]
-        under: &'a UnderConfig<'a>,
+        under: &'a ConfigContext<'a>,
         /// Age of what is known of upstreams, in milliseconds.
         registry_ms: u64,
         /// What became of it.
@@ -553,7 +553,7 @@
 
 /// What the configuration said of a request.
 #[derive(Debug, Clone, Serialize)]
-pub struct UnderConfig<'a> {
+pub struct ConfigContext<'a> {
     /// The tenant; none if none is configured or its key names none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant: Option<&'a str>,
--- a/crates/observe/src/log_line.rs
+++ b/crates/observe/src/log_line.rs
@@ -11,14 +11,14 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-static PROCESS: OnceLock<String> = OnceLock::new();
+static PROCESS_NAME: OnceLock<String> = OnceLock::new();
 static SINK: OnceLock<&'static Sink> = OnceLock::new();
 /// Longest that a process that ends waits for its last lines to be read.
-const LAST_LINES: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Starts logging for this process. A second call changes nothing.
 pub fn init(process: &str) {
-    if PROCESS.set(process.to_owned()).is_err() {
+    if PROCESS_NAME.set(process.to_owned()).is_err() {
         return;
     }
     let cfg = ConfigBuilder::new()
@@ -39,7 +39,7 @@
 /// Waits until the lines so far are written, for a bounded time.
 pub fn flush() {
     if let Some(sink) = SINK.get() {
-        sink.flush(LAST_LINES);
+        sink.flush(FLUSH_TIMEOUT);
     }
 }
 
@@ -72,7 +72,7 @@
 
 fn write(event: &Event<'_>) {
     let level = event.level();
-    let process = PROCESS.get().map_or("", String::as_str);
+    let process = PROCESS_NAME.get().map_or("", String::as_str);
     let line = Line {
         ts_ms: now_ms(),
         level,
@@ -85,6 +85,6 @@
 
 /// Milliseconds since 1970, for people and records; no decision rests on it.
 pub fn now_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| d.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -6,19 +6,19 @@
 use std::sync::Mutex;
 
 /// Bounds of the histograms, in seconds.
-const BUCKETS: [f64; 14] = [
+const BUCKETS_S: [f64; 14] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0,
 ];
 /// Label of tenants past the bound.
-const OTHERS: &str = "other";
+const OTHER_TENANTS: &str = "other";
 
 /// Which histogram a time goes into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seconds {
+pub enum Latency {
     /// Time in an agent's queue.
     Queue,
     /// Time to the first byte.
-    First,
+    FirstByte,
     /// Time to the end.
     Total,
 }
@@ -47,13 +47,13 @@
     bytes: IntGaugeVec,
     store_calls: IntGaugeVec,
     unreadable: IntCounterVec,
-    known: Mutex<Vec<String>>,
-    most_tenants: usize,
+    labelled_tenants: Mutex<Vec<String>>,
+    max_tenants: usize,
 }
 
 impl Metrics {
     /// Metrics with histograms of their own for at most so many tenants.
-    pub fn new(most_tenants: u32) -> Self {
+    pub fn new(max_tenants: u32) -> Self {
         let registry = Registry::new();
         gauge(&registry, "process_id", "Id of the process.", &[])
             .with_label_values::<&str>(&[])
@@ -109,58 +109,58 @@
                 "Versions of entries in the registry that name no upstream to use.",
                 &["reason"],
             ),
-            known: Mutex::default(),
-            most_tenants: most_tenants as usize,
+            labelled_tenants: Mutex::default(),
+            max_tenants: max_tenants as usize,
             registry,
         }
     }
 
     /// Counts a request's end.
-    pub fn count(&self, who: Labels<'_>, outcome: &str, reason: &str) {
+    pub fn count_request(&self, labels: Labels<'_>, outcome: &str, reason: &str) {
         self.requests
-            .with_label_values(&[who.service, who.class, outcome, reason])
+            .with_label_values(&[labels.service, labels.class, outcome, reason])
             .inc();
     }
 
     /// Notes a time, in seconds.
-    pub fn time(&self, who: Labels<'_>, what: Seconds, seconds: f64) {
-        let class = [who.service, who.class];
-        match what {
-            Seconds::Queue => self.queue.with_label_values(&class).observe(seconds),
-            Seconds::Total => self.total.with_label_values(&class).observe(seconds),
-            Seconds::First => {
+    pub fn observe_latency(&self, labels: Labels<'_>, latency: Latency, seconds: f64) {
+        let class = [labels.service, labels.class];
+        match latency {
+            Latency::Queue => self.queue.with_label_values(&class).observe(seconds),
+            Latency::Total => self.total.with_label_values(&class).observe(seconds),
+            Latency::FirstByte => {
                 self.first.with_label_values(&class).observe(seconds);
-                let tenant = self.tenant_label(who.tenant);
+                let tenant = self.tenant_label(labels.tenant);
                 self.tenants
-                    .with_label_values(&[who.service, &tenant])
+                    .with_label_values(&[labels.service, &tenant])
                     .observe(seconds);
             }
         }
     }
 
     /// Notes the version of a document in force.
-    pub fn doc(&self, service: &str, version: u64) {
+    pub fn set_document_version(&self, service: &str, version: u64) {
         self.docs.with_label_values(&[service]).set(version as i64);
     }
 
     /// Notes the bytes of control traffic so far over a kind of link.
-    pub fn bytes(&self, link: &str, bytes: u64) {
+    pub fn set_control_bytes(&self, link: &str, bytes: u64) {
         self.bytes.with_label_values(&[link]).set(bytes as i64);
     }
 
     /// Sets the number of calls to the store so far for a table, kind and end.
-    pub fn store_calls(&self, table: &str, kind: &str, end: &str, count: u64) {
+    pub fn set_store_calls(&self, table: &str, kind: &str, end: &str, count: u64) {
         let calls = self.store_calls.with_label_values(&[table, kind, end]);
         calls.set(count as i64);
     }
 
     /// Counts an entry of the registry that names no upstream to use.
-    pub fn unreadable(&self, reason: &str) {
+    pub fn count_unreadable_entry(&self, reason: &str) {
         self.unreadable.with_label_values(&[reason]).inc();
     }
 
     /// The text that prometheus reads.
-    pub fn text(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut buf = Vec::new();
         let families = self.registry.gather();
         TextEncoder::new()
@@ -172,14 +172,14 @@
     /// The first tenants have a label of their own, the others share one: the
     /// cost of 28,000 tenants must not fall on every process.
     fn tenant_label(&self, tenant: &str) -> String {
-        let mut known = self.known.lock().expect("no panic while locked");
-        match known.binary_search_by(|t| t.as_str().cmp(tenant)) {
+        let mut labelled = self.labelled_tenants.lock().expect("no panic while locked");
+        match labelled.binary_search_by(|t| t.as_str().cmp(tenant)) {
             Ok(_) => tenant.to_owned(),
-            Err(at) if known.len() < self.most_tenants => {
-                known.insert(at, tenant.to_owned());
+            Err(at) if labelled.len() < self.max_tenants => {
+                labelled.insert(at, tenant.to_owned());
                 tenant.to_owned()
             }
-            Err(_) => OTHERS.to_owned(),
+            Err(_) => OTHER_TENANTS.to_owned(),
         }
     }
 }
@@ -205,7 +205,7 @@
 }
 
 fn histogram(registry: &Registry, short: &str, help: &str, labels: &[&str]) -> HistogramVec {
-    let opts = HistogramOpts::new(name(short), help).buckets(BUCKETS.to_vec());
+    let opts = HistogramOpts::new(name(short), help).buckets(BUCKETS_S.to_vec());
     let v = HistogramVec::new(opts, labels).expect("valid metric");
     registry
         .register(Box::new(v.clone()))
--- a/crates/observe/src/sink.rs
+++ b/crates/observe/src/sink.rs
@@ -10,15 +10,15 @@
 
 /// Most bytes that wait for the writer: about a second of lines at the highest
 /// rate, so that a reader that is slow for a moment loses nothing.
-const MAX_BUFFERED: usize = 512 << 10;
+const MAX_BUFFERED_BYTES: usize = 512 << 10;
 /// Lines a second that are kept in the long run. An entry at its share of the
 /// load writes about 100; at ten times that it stays whole.
 const LINES_PER_S: f64 = 1000.0;
 /// Lines that may come at once.
-const MAX_BURST: f64 = 2000.0;
+const MAX_BURST_LINES: f64 = 2000.0;
 /// Time over which lines are gathered for one write: wake-ups and system calls
 /// cost more than the lines themselves.
-const GATHER: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Lines of one kind that were dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,11 +31,11 @@
 
 #[derive(Debug)]
 struct State {
-    waiting: Vec<u8>,
+    buffer: Vec<u8>,
     /// Whether the writer holds bytes that it hasn't written yet.
     is_writing: bool,
     tokens: f64,
-    refilled: Option<Instant>,
+    last_refill: Option<Instant>,
     dropped: Vec<Dropped>,
 }
 
@@ -50,10 +50,10 @@
     fn default() -> Self {
         Self {
             state: Mutex::new(State {
-                waiting: Vec::new(),
+                buffer: Vec::new(),
                 is_writing: false,
-                tokens: MAX_BURST,
-                refilled: None,
+                tokens: MAX_BURST_LINES,
+                last_refill: None,
                 dropped: Vec::new(),
             }),
             changed: Condvar::new(),
@@ -71,7 +71,7 @@
     pub fn admit(&self, kind: &'static str, now: Instant) -> bool {
         let mut state = self.lock();
         state.refill(now);
-        let has_room = state.tokens >= 1.0 && state.waiting.len() < MAX_BUFFERED;
+        let has_room = state.tokens >= 1.0 && state.buffer.len() < MAX_BUFFERED_BYTES;
         if has_room {
             state.tokens -= 1.0;
         } else {
@@ -83,22 +83,22 @@
     /// The lines dropped since the last call, if there is room to say so.
     pub fn take_dropped(&self) -> Vec<Dropped> {
         let mut state = self.lock();
-        if state.dropped.is_empty() || state.waiting.len() >= MAX_BUFFERED {
+        if state.dropped.is_empty() || state.buffer.len() >= MAX_BUFFERED_BYTES {
             return Vec::new();
         }
         std::mem::take(&mut state.dropped)
     }
 
     /// Bytes that wait for the writer.
-    pub fn waiting(&self) -> usize {
-        self.lock().waiting.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.lock().buffer.len()
     }
 
     /// Adds bytes for the writer.
     pub fn push(&self, bytes: &[u8]) {
         let mut state = self.lock();
-        let was_empty = state.waiting.is_empty();
-        state.waiting.extend_from_slice(bytes);
+        let was_empty = state.buffer.is_empty();
+        state.buffer.extend_from_slice(bytes);
         if was_empty {
             self.changed.notify_all();
         }
@@ -110,13 +110,13 @@
         let mut buf = Vec::new();
         loop {
             let mut state = self.lock();
-            while state.waiting.is_empty() {
+            while state.buffer.is_empty() {
                 state = self.changed.wait(state).expect("no panic while locked");
             }
             drop(state);
-            std::thread::sleep(GATHER);
+            std::thread::sleep(WRITE_INTERVAL);
             let mut state = self.lock();
-            std::mem::swap(&mut buf, &mut state.waiting);
+            std::mem::swap(&mut buf, &mut state.buffer);
             state.is_writing = true;
             drop(state);
             let _ = out.write_all(&buf).and_then(|()| out.flush());
@@ -127,11 +127,11 @@
     }
 
     /// Waits until all lines are written, for at most a time.
-    pub fn flush(&self, bound: Duration) {
-        let until = Instant::now() + bound;
+    pub fn flush(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         let mut state = self.lock();
-        while !state.waiting.is_empty() || state.is_writing {
-            let Some(left) = until.checked_duration_since(Instant::now()) else {
+        while !state.buffer.is_empty() || state.is_writing {
+            let Some(left) = deadline.checked_duration_since(Instant::now()) else {
                 return;
             };
             let waited = self.changed.wait_timeout(state, left);
@@ -142,9 +142,9 @@
 
 impl State {
     fn refill(&mut self, now: Instant) {
-        let last = self.refilled.replace(now).unwrap_or(now);
-        let passed = now.saturating_duration_since(last).as_secs_f64();
-        self.tokens = (self.tokens + passed * LINES_PER_S).min(MAX_BURST);
+        let previous = self.last_refill.replace(now).unwrap_or(now);
+        let elapsed = now.saturating_duration_since(previous).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * LINES_PER_S).min(MAX_BURST_LINES);
     }
 
     fn count_dropped(&mut self, kind: &'static str) {
--- a/crates/observe/tests/sink.rs
+++ b/crates/observe/tests/sink.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// A reader that never reads.
-struct Stuck;
+struct BlockedWriter;
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::park();
@@ -22,9 +22,9 @@
 }
 
 /// A reader that hands on what it gets.
-struct Read(Sender<Vec<u8>>);
+struct ChannelWriter(Sender<Vec<u8>>);
 
-impl Write for Read {
+impl Write for ChannelWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.send(buf.to_vec()).map_err(io::Error::other)?;
         Ok(buf.len())
@@ -49,7 +49,7 @@
 #[test]
 fn lines_arrive_whole_and_in_order() {
     let (tx, rx) = channel();
-    let sink = start(Read(tx));
+    let sink = start(ChannelWriter(tx));
     let mut text = Vec::new();
     for n in 0..500 {
         let line = format!("line {n}\n");
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn without_a_reader_lines_are_dropped_and_counted_by_kind() {
-    let sink = start(Stuck);
+fn lines_over_a_full_buffer_are_dropped_and_counted_by_kind() {
+    let sink = start(BlockedWriter);
     let line = vec![b'x'; 1000];
     let mut now = Instant::now();
     let mut dropped = [0; 2];
@@ -80,16 +80,16 @@
             dropped[n % 2] += 1;
         }
     }
-    assert!(sink.waiting() <= (512 << 10) + line.len());
+    assert!(sink.buffered_bytes() <= (512 << 10) + line.len());
     assert!(dropped.iter().all(|d| *d > 8000), "{dropped:?}");
     // They can't be told of while there is no room.
     assert!(sink.take_dropped().is_empty());
 }
 
 #[test]
-fn a_flood_is_cut_to_the_rate_and_told_of() {
+fn lines_over_the_rate_limit_are_dropped_and_counted() {
     let (tx, rx) = channel();
-    let sink = start(Read(tx));
+    let sink = start(ChannelWriter(tx));
     let start = Instant::now();
     let mut kept = 0;
     for n in 0..100_000u32 {
--- a/crates/plan/src/duty.rs
+++ b/crates/plan/src/duty.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::retry::around;
+use store::retry::jittered_interval;
 use store::rows::{Desired, decode, desired_key, encode, lease_key};
 use store::{Documents, InForce, Row, Table, Txn, WriteError};
 use tokio::sync::watch;
@@ -80,7 +80,7 @@
             self.look(&mut keeper, &mut memory).await;
             self.tell(before, epoch(&keeper));
             tokio::select! {
-                () = tokio::time::sleep(around(every)) => {}
+                () = tokio::time::sleep(jittered_interval(every)) => {}
                 () = self.stop.stopped() => {}
             }
         }
--- a/crates/records/src/report.rs
+++ b/crates/records/src/report.rs
@@ -77,7 +77,7 @@
 
 impl Gap {
     /// Whether records are known to be lost, and not just to come.
-    pub fn is_loss(&self) -> bool {
+    pub fn has_lost_records(&self) -> bool {
         !self.missing.is_empty() || self.dropped > 0
     }
 }
@@ -102,7 +102,7 @@
 
 impl Report {
     /// Records known to be lost: dropped ones, and requests without the entry's record.
-    pub fn lost(&self) -> u64 {
+    pub fn lost_records(&self) -> u64 {
         self.gaps.iter().map(|g| g.dropped).sum::<u64>() + self.agent_only
     }
 }
@@ -110,7 +110,7 @@
 #[derive(Debug, Default)]
 struct Group {
     counts: Counts,
-    waits: Option<Histogram<u64>>,
+    wait_histogram: Option<Histogram<u64>>,
 }
 
 impl Group {
@@ -128,14 +128,14 @@
         }
         if let Some(ms) = r.first_ms {
             let new = || Histogram::new_with_max(MAX_WAIT_MS, 3).expect("valid bounds");
-            let waits = self.waits.get_or_insert_with(new);
-            waits.saturating_record(ms);
+            let wait_histogram = self.wait_histogram.get_or_insert_with(new);
+            wait_histogram.saturating_record(ms);
         }
     }
 
     fn finish(self) -> Counts {
         let mut counts = self.counts;
-        if let Some(w) = self.waits {
+        if let Some(w) = self.wait_histogram {
             let q = |q| w.value_at_quantile(q);
             counts.wait_ms = Quantiles {
                 p50: q(0.5),
@@ -148,7 +148,7 @@
 }
 
 #[derive(Debug, Default)]
-struct ProcessSeen {
+struct ProcessBatches {
     numbers: Vec<u64>,
     dropped: u64,
     ended: bool,
@@ -161,9 +161,9 @@
     since_ms: u64,
     all: Group,
     classes: BTreeMap<String, (Group, BTreeMap<String, Group>)>,
-    entry_seen: Vec<RequestId>,
-    agent_seen: Vec<RequestId>,
-    processes: BTreeMap<String, ProcessSeen>,
+    entry_requests: Vec<RequestId>,
+    agent_requests: Vec<RequestId>,
+    processes: BTreeMap<String, ProcessBatches>,
 }
 
 impl Collector {
@@ -174,30 +174,30 @@
             since_ms,
             all: Group::default(),
             classes: BTreeMap::new(),
-            entry_seen: Vec::new(),
-            agent_seen: Vec::new(),
+            entry_requests: Vec::new(),
+            agent_requests: Vec::new(),
             processes: BTreeMap::new(),
         }
     }
 
     /// Adds a batch.
     pub fn add(&mut self, name: &BatchName, batch: &Batch) {
-        let seen = self.processes.entry(name.process.clone()).or_default();
-        seen.numbers.push(name.number);
-        seen.dropped += batch.dropped;
-        seen.ended |= batch.last;
+        let batches = self.processes.entry(name.process.clone()).or_default();
+        batches.numbers.push(name.number);
+        batches.dropped += batch.dropped;
+        batches.ended |= batch.last;
         for r in &batch.records {
             if r.service == self.service && r.ended_ms >= self.since_ms {
-                self.record(r);
+                self.add_record(r);
             }
         }
     }
 
-    fn record(&mut self, r: &Record) {
+    fn add_record(&mut self, r: &Record) {
         match r.side {
-            Side::Agent => self.agent_seen.push(r.request),
+            Side::Agent => self.agent_requests.push(r.request),
             Side::Entry => {
-                self.entry_seen.push(r.request);
+                self.entry_requests.push(r.request);
                 self.all.add(r);
                 let (class, tenants) = self.classes.entry(r.class.clone()).or_default();
                 class.add(r);
@@ -208,12 +208,16 @@
 
     /// Makes the report.
     pub fn finish(mut self) -> Report {
-        self.entry_seen.sort_unstable();
-        let tries = self.agent_seen.len() as u64;
-        self.agent_seen.sort_unstable();
-        self.agent_seen.dedup();
-        let known = |r: &&RequestId| self.entry_seen.binary_search(r).is_err();
-        let agent_only = self.agent_seen.iter().filter(known).count() as u64;
+        self.entry_requests.sort_unstable();
+        let tries = self.agent_requests.len() as u64;
+        self.agent_requests.sort_unstable();
+        self.agent_requests.dedup();
+        let has_no_entry_record = |r: &&RequestId| self.entry_requests.binary_search(r).is_err();
+        let agent_only = self
+            .agent_requests
+            .iter()
+            .filter(has_no_entry_record)
+            .count() as u64;
         let class = |(class, (group, tenants)): (String, (Group, BTreeMap<String, Group>))| {
             let tenant = |(tenant, g): (String, Group)| TenantReport {
                 tenant,
@@ -235,26 +239,26 @@
             gaps: self
                 .processes
                 .into_iter()
-                .filter_map(|(p, seen)| gap(p, seen))
+                .filter_map(|(p, batches)| gap(p, batches))
                 .collect(),
         }
     }
 }
 
-fn gap(process: String, mut seen: ProcessSeen) -> Option<Gap> {
-    seen.numbers.sort_unstable();
-    seen.numbers.dedup();
-    let missing: Vec<u64> = seen
+fn gap(process: String, mut batches: ProcessBatches) -> Option<Gap> {
+    batches.numbers.sort_unstable();
+    batches.numbers.dedup();
+    let missing: Vec<u64> = batches
         .numbers
         .windows(2)
         .flat_map(|pair| pair[0] + 1..pair[1])
         .collect();
-    let whole = missing.is_empty() && seen.dropped == 0 && seen.ended;
-    (!whole).then_some(Gap {
+    let is_complete = missing.is_empty() && batches.dropped == 0 && batches.ended;
+    (!is_complete).then_some(Gap {
         process,
         missing,
-        dropped: seen.dropped,
-        ended: seen.ended,
+        dropped: batches.dropped,
+        ended: batches.ended,
     })
 }
 
@@ -277,7 +281,7 @@
             continue;
         };
         let Some(batch) = wire::decode::<Batch>(&data) else {
-            return Err(Error::Nonsense(format!("batch {object}")));
+            return Err(Error::InvalidResponse(format!("batch {object}")));
         };
         collector.add(&name, &batch);
     }
--- a/crates/records/src/table.rs
+++ b/crates/records/src/table.rs
@@ -37,7 +37,7 @@
             "tries at agents: {}, known to agents only: {}",
             self.tries, self.agent_only
         )?;
-        for g in self.gaps.iter().filter(|g| g.is_loss()) {
+        for g in self.gaps.iter().filter(|g| g.has_lost_records()) {
             let (process, missing) = (&g.process, &g.missing);
             writeln!(
                 f,
@@ -45,11 +45,11 @@
                 g.dropped
             )?;
         }
-        let open = self.gaps.iter().filter(|g| !g.ended).count();
-        if open > 0 {
+        let not_ended = self.gaps.iter().filter(|g| !g.ended).count();
+        if not_ended > 0 {
             writeln!(
                 f,
-                "{open} processes haven't ended with a last batch: they run still, or were \
+                "{not_ended} processes haven't ended with a last batch: they run still, or were \
                  killed, and their newest records may be missing (--json names them)"
             )?;
         }
--- a/crates/records/src/writer.rs
+++ b/crates/records/src/writer.rs
@@ -7,16 +7,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use store::Objects;
-use store::retry::{Backoff, around};
+use store::retry::{Backoff, jittered_interval};
 use tokio::sync::{mpsc, oneshot};
 
 /// Most records in one batch.
 const MAX_BATCH: usize = 5_000;
 /// First and longest wait between tries while the store is down.
-const RETRY_FIRST: Duration = Duration::from_millis(200);
-const RETRY_MOST: Duration = Duration::from_secs(10);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-enum Message {
+enum Command {
     Record(Box<Record>),
     Close(oneshot::Sender<()>),
 }
@@ -25,22 +25,22 @@
 /// waits: past the bound it is counted as dropped, and the next batch says so.
 #[derive(Debug, Clone)]
 pub struct Recorder {
-    tx: mpsc::Sender<Message>,
+    tx: mpsc::Sender<Command>,
     dropped: Arc<AtomicU64>,
 }
 
 impl Recorder {
     /// Starts the task of a process's records.
-    pub fn start<O>(objects: O, process: String, flush: Duration, buffer: u32) -> Self
+    pub fn start<O>(objects: O, process: String, flush_interval: Duration, capacity: u32) -> Self
     where
         O: Objects + Send + Sync + 'static,
     {
-        let (tx, rx) = mpsc::channel(buffer as usize);
+        let (tx, rx) = mpsc::channel(capacity as usize);
         let dropped = Arc::new(AtomicU64::new(0));
         let writer = Writer {
             objects,
             process,
-            flush,
+            flush_interval,
             number: 0,
             dropped: dropped.clone(),
         };
@@ -50,36 +50,36 @@
 
     /// Takes a record.
     pub fn record(&self, record: Record) {
-        if self.tx.try_send(Message::Record(Box::new(record))).is_err() {
+        if self.tx.try_send(Command::Record(Box::new(record))).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     /// Writes what there is as the process's last batch, for at most `within`.
-    pub async fn close(&self, within: Duration) -> bool {
+    pub async fn close(&self, timeout: Duration) -> bool {
         let (tx, rx) = oneshot::channel();
         let close = async {
-            self.tx.send(Message::Close(tx)).await.ok()?;
+            self.tx.send(Command::Close(tx)).await.ok()?;
             rx.await.ok()
         };
-        matches!(tokio::time::timeout(within, close).await, Ok(Some(())))
+        matches!(tokio::time::timeout(timeout, close).await, Ok(Some(())))
     }
 }
 
 struct Writer<O> {
     objects: O,
     process: String,
-    flush: Duration,
+    flush_interval: Duration,
     number: u64,
     dropped: Arc<AtomicU64>,
 }
 
 impl<O: Objects> Writer<O> {
-    async fn run(mut self, mut rx: mpsc::Receiver<Message>) {
+    async fn run(mut self, mut rx: mpsc::Receiver<Command>) {
         loop {
-            let (records, close) = collect(&mut rx, around(self.flush)).await;
-            let ended = rx.is_closed() && rx.is_empty();
-            let last = close.is_some() || ended;
+            let (records, close) = collect(&mut rx, jittered_interval(self.flush_interval)).await;
+            let all_senders_dropped = rx.is_closed() && rx.is_empty();
+            let last = close.is_some() || all_senders_dropped;
             if !records.is_empty() || last {
                 self.write(records, last).await;
             }
@@ -88,7 +88,7 @@
                 let _ = close.send(());
                 return;
             }
-            if ended {
+            if all_senders_dropped {
                 return;
             }
         }
@@ -111,10 +111,10 @@
             last,
             records,
         });
-        let mut backoff = Backoff::new(RETRY_FIRST, RETRY_MOST);
+        let mut backoff = Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         // The same bytes under the same name: a repeat after a lost answer is harmless.
         while self.objects.put(&name, data.clone()).await.is_err() {
-            tokio::time::sleep(backoff.wait()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
         }
         self.number += 1;
     }
@@ -122,15 +122,15 @@
 
 /// Collects records for a time, or until a batch is full.
 async fn collect(
-    rx: &mut mpsc::Receiver<Message>,
-    time: Duration,
+    rx: &mut mpsc::Receiver<Command>,
+    max_wait: Duration,
 ) -> (Vec<Record>, Option<oneshot::Sender<()>>) {
     let mut records = Vec::new();
-    let until = tokio::time::Instant::now() + time;
+    let deadline = tokio::time::Instant::now() + max_wait;
     while records.len() < MAX_BATCH {
-        match tokio::time::timeout_at(until, rx.recv()).await {
-            Ok(Some(Message::Record(r))) => records.push(*r),
-            Ok(Some(Message::Close(tx))) => return (records, Some(tx)),
+        match tokio::time::timeout_at(deadline, rx.recv()).await {
+            Ok(Some(Command::Record(r))) => records.push(*r),
+            Ok(Some(Command::Close(tx))) => return (records, Some(tx)),
             Ok(None) | Err(_) => break,
         }
     }
--- a/crates/records/tests/report.rs
+++ b/crates/records/tests/report.rs
@@ -12,7 +12,7 @@
 use store::HttpPlatform;
 use wire::{Outcome, Reason, RequestId};
 
-const BOUND: Duration = Duration::from_secs(60);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn record(request: u128, side: Side, outcome: Outcome, first_ms: Option<u64>) -> Record {
     Record {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn each_request_counts_once_in_what_became_of_it() {
+fn each_request_is_counted_under_exactly_one_outcome() {
     let mut c = Collector::new("s", 0);
     let records = vec![
         record(1, Side::Entry, Outcome::Answered, Some(50)),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn missing_batches_dropped_records_and_a_missing_end_are_gaps() {
+fn missing_batches_dropped_records_and_a_missing_last_batch_are_gaps() {
     let mut c = Collector::new("s", 0);
     c.add(&name("a", 1), &batch(false, 0, Vec::new()));
     c.add(&name("a", 4), &batch(true, 0, Vec::new()));
@@ -85,20 +85,20 @@
     c.add(&name("c", 0), &batch(false, 0, Vec::new()));
     c.add(&name("whole", 0), &batch(true, 0, Vec::new()));
     let r = c.finish();
-    let of = |p: &str| r.gaps.iter().find(|g| g.process == p);
-    assert_eq!(of("a").unwrap().missing, [2, 3]);
-    assert_eq!(of("b").unwrap().dropped, 7);
-    assert!(!of("c").unwrap().ended);
-    assert!(of("whole").is_none());
+    let gap_of = |p: &str| r.gaps.iter().find(|g| g.process == p);
+    assert_eq!(gap_of("a").unwrap().missing, [2, 3]);
+    assert_eq!(gap_of("b").unwrap().dropped, 7);
+    assert!(!gap_of("c").unwrap().ended);
+    assert!(gap_of("whole").is_none());
     let text = r.to_string();
     assert!(text.contains("gap: a: missing batches [2, 3]"), "{text}");
     assert!(!text.contains("gap: c:"), "{text}");
     assert!(text.contains("1 processes haven't ended"), "{text}");
-    assert_eq!(r.lost(), 7);
+    assert_eq!(r.lost_records(), 7);
 }
 
 #[test]
-fn since_leaves_earlier_requests_out() {
+fn requests_that_ended_before_since_are_excluded() {
     let mut c = Collector::new("s", 1002);
     let records = (1..4)
         .map(|n| record(n, Side::Entry, Outcome::Answered, Some(1)))
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn records_wait_out_an_outage_in_bounded_memory() {
+async fn records_are_kept_in_bounded_memory_during_an_outage() {
     let standin = Arc::<ObjectsStandin>::default();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let running = start(any, standin.clone()).await.unwrap();
@@ -134,9 +134,9 @@
         lose_answers: 1,
         ..Faults::default()
     });
-    assert!(r.close(BOUND).await);
+    assert!(r.close(CLOSE_TIMEOUT).await);
     let report = read_report(&platform, "s", 0).await.unwrap();
-    let (got, lost) = (report.all.requests, report.lost());
+    let (got, lost) = (report.all.requests, report.lost_records());
     assert!(got >= kept, "{got} records were kept");
     assert_eq!(
         u128::from(got + lost),
--- a/crates/store/src/docs.rs
+++ b/crates/store/src/docs.rs
@@ -22,9 +22,9 @@
 
 /// What came of offering a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferResult {
     /// It is in force now.
-    Taken,
+    Accepted,
     /// It isn't newer than the one in force.
     NotNewer,
     /// It isn't a valid document of a service that this process serves.
@@ -34,15 +34,15 @@
 /// The documents in force, sorted by service.
 #[derive(Debug)]
 pub struct Documents {
-    slots: RwLock<Vec<Slot>>,
+    entries: RwLock<Vec<ServiceDoc>>,
     changed: watch::Sender<u64>,
 }
 
 #[derive(Debug)]
-struct Slot {
+struct ServiceDoc {
     service: String,
     in_force: Option<InForce>,
-    wanted: u64,
+    known_version: u64,
 }
 
 impl Documents {
@@ -51,119 +51,122 @@
         let mut names = services.to_vec();
         names.sort_unstable();
         names.dedup();
-        let slot = |service| Slot {
+        let entry = |service| ServiceDoc {
             service,
             in_force: None,
-            wanted: 0,
+            known_version: 0,
         };
         Self {
-            slots: RwLock::new(names.into_iter().map(slot).collect()),
+            entries: RwLock::new(names.into_iter().map(entry).collect()),
             changed: watch::Sender::new(0),
         }
     }
 
-    fn with<T>(&self, service: &str, f: impl FnOnce(&Slot) -> T) -> Option<T> {
-        let slots = self.slots.read().expect("no panic while locked");
-        let at = slots
+    fn with_entry<T>(&self, service: &str, f: impl FnOnce(&ServiceDoc) -> T) -> Option<T> {
+        let entries = self.entries.read().expect("no panic while locked");
+        let at = entries
             .binary_search_by(|s| s.service.as_str().cmp(service))
             .ok()?;
-        Some(f(&slots[at]))
+        Some(f(&entries[at]))
     }
 
     /// The services of these documents.
     pub fn services(&self) -> Vec<String> {
-        let slots = self.slots.read().expect("no panic while locked");
-        slots.iter().map(|s| s.service.clone()).collect()
+        let entries = self.entries.read().expect("no panic while locked");
+        entries.iter().map(|s| s.service.clone()).collect()
     }
 
     /// Whether this process serves a service.
-    pub fn knows(&self, service: &str) -> bool {
-        self.with(service, |_| ()).is_some()
+    pub fn serves(&self, service: &str) -> bool {
+        self.with_entry(service, |_| ()).is_some()
     }
 
     /// The document in force for a service.
     pub fn get(&self, service: &str) -> Option<InForce> {
-        self.with(service, |s| s.in_force.clone())?
+        self.with_entry(service, |s| s.in_force.clone())?
     }
 
     /// The version in force, 0 if there is none.
     pub fn version(&self, service: &str) -> u64 {
-        self.with(service, |s| s.in_force.as_ref().map_or(0, |d| d.version))
+        self.with_entry(service, |s| s.in_force.as_ref().map_or(0, |d| d.version))
             .unwrap_or(0)
     }
 
     /// The highest version that a peer has spoken of, if it is above the one in force.
-    pub fn behind(&self, service: &str) -> Option<u64> {
-        self.with(service, |s| {
-            let have = s.in_force.as_ref().map_or(0, |d| d.version);
-            (s.wanted > have).then_some(s.wanted)
+    pub fn newer_version(&self, service: &str) -> Option<u64> {
+        self.with_entry(service, |s| {
+            let in_force = s.in_force.as_ref().map_or(0, |d| d.version);
+            (s.known_version > in_force).then_some(s.known_version)
         })?
     }
 
     /// Notes a version that a peer spoke of.
-    pub fn heard(&self, service: &str, version: u64) {
-        if self.with(service, |s| s.wanted >= version).unwrap_or(true) {
+    pub fn note_version(&self, service: &str, version: u64) {
+        if self
+            .with_entry(service, |s| s.known_version >= version)
+            .unwrap_or(true)
+        {
             return;
         }
-        let mut slots = self.slots.write().expect("no panic while locked");
-        let Ok(at) = slots.binary_search_by(|s| s.service.as_str().cmp(service)) else {
+        let mut entries = self.entries.write().expect("no panic while locked");
+        let Ok(at) = entries.binary_search_by(|s| s.service.as_str().cmp(service)) else {
             return;
         };
-        slots[at].wanted = slots[at].wanted.max(version);
-        drop(slots);
+        entries[at].known_version = entries[at].known_version.max(version);
+        drop(entries);
         self.changed.send_modify(|n| *n += 1);
     }
 
     /// Offers a document; it is taken only if it is valid and newer.
-    pub fn offer(&self, text: &DocText) -> Offered {
+    pub fn offer(&self, text: &DocText) -> OfferResult {
         if text.version <= self.version(&text.service) {
-            return Offered::NotNewer;
+            return OfferResult::NotNewer;
         }
         let Ok(doc) = Doc::parse(&text.text) else {
-            return Offered::Invalid;
+            return OfferResult::Invalid;
         };
         if doc.service != text.service {
-            return Offered::Invalid;
+            return OfferResult::Invalid;
         }
-        let mut slots = self.slots.write().expect("no panic while locked");
-        let Ok(at) = slots.binary_search_by(|s| s.service.as_str().cmp(&text.service)) else {
-            return Offered::Invalid;
+        let mut entries = self.entries.write().expect("no panic while locked");
+        let Ok(at) = entries.binary_search_by(|s| s.service.as_str().cmp(&text.service)) else {
+            return OfferResult::Invalid;
         };
-        let slot = &mut slots[at];
+        let entry = &mut entries[at];
         // Looked at again under the lock: two offers may race.
-        if slot
+        if entry
             .in_force
             .as_ref()
             .is_some_and(|d| d.version >= text.version)
         {
-            return Offered::NotNewer;
+            return OfferResult::NotNewer;
         }
         let text_arc = Arc::from(text.text.as_str());
-        slot.in_force = Some(InForce {
+        entry.in_force = Some(InForce {
             version: text.version,
             doc: Arc::new(doc),
             text: text_arc,
         });
-        slot.wanted = slot.wanted.max(text.version);
-        drop(slots);
+        entry.known_version = entry.known_version.max(text.version);
+        drop(entries);
         self.changed.send_modify(|n| *n += 1);
-        Offered::Taken
+        OfferResult::Accepted
     }
 
     /// Waits until at least a version is in force, for at most `within`.
-    pub async fn reach(&self, service: &str, version: u64, within: Duration) -> bool {
-        let mut changed = self.watch();
-        let reached = async {
+    pub async fn wait_for_version(&self, service: &str, version: u64, timeout: Duration) -> bool {
+        let mut changed = self.subscribe();
+        let wait = async {
             while self.version(service) < version {
                 // The sender lives in `self`.
                 let _ = changed.changed().await;
             }
         };
-        tokio::time::timeout(within, reached).await.is_ok()
+        tokio::time::timeout(timeout, wait).await.is_ok()
     }
 
     /// A receiver that sees each change of what is in force or heard of.
-    pub fn watch(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -25,7 +25,7 @@
 pub const PATH_HOSTS: &str = "/hosts";
 
 /// Largest answer that is read.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Body of a scan.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -82,10 +82,10 @@
         body: Vec<u8>,
     ) -> Result<(StatusCode, bytes::Bytes), CallError> {
         let req = request(pool, method, path, body);
-        pool.call(req, MAX_ANSWER, self.timeout).await
+        pool.call(req, MAX_RESPONSE_BYTES, self.timeout).await
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn call_json<T: DeserializeOwned>(
         &self,
         pool: &Pool,
         method: Method,
@@ -99,7 +99,7 @@
         if !status.is_success() {
             return Err(Error::Unavailable(format!("status {status}")));
         }
-        serde_json::from_slice(&body).map_err(|e| Error::Nonsense(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| Error::InvalidResponse(e.to_string()))
     }
 }
 
@@ -122,7 +122,7 @@
 
 impl Table for HttpPlatform {
     async fn read(&self, keys: Vec<String>) -> Result<Vec<Row>, Error> {
-        self.ask(&self.table, Method::POST, PATH_READ, json(&keys))
+        self.call_json(&self.table, Method::POST, PATH_READ, json(&keys))
             .await
     }
 
@@ -132,15 +132,16 @@
             after,
             limit,
         });
-        self.ask(&self.table, Method::POST, PATH_SCAN, body).await
+        self.call_json(&self.table, Method::POST, PATH_SCAN, body)
+            .await
     }
 
     async fn commit(&self, txn: &Txn) -> Result<u64, WriteError> {
-        let answer = self
+        let response = self
             .call(&self.table, Method::POST, PATH_COMMIT, json(txn))
             .await;
-        let (status, body) = match answer {
-            Ok(answer) => answer,
+        let (status, body) = match response {
+            Ok(response) => response,
             Err(CallError::NotSent(why)) => return Err(WriteError::Unavailable(why)),
             Err(CallError::MaybeSent(why)) => return Err(WriteError::Unknown(why)),
         };
@@ -185,14 +186,15 @@
 
     async fn list(&self, prefix: &str) -> Result<Vec<String>, Error> {
         let path = format!("{PATH_LIST}?{prefix}");
-        self.ask(&self.objects, Method::GET, &path, Vec::new())
+        self.call_json(&self.objects, Method::GET, &path, Vec::new())
             .await
     }
 }
 
 impl Hosts for HttpPlatform {
-    async fn hosts(&self, have: u64) -> Result<HostList, Error> {
-        let path = format!("{PATH_HOSTS}?{have}");
-        self.ask(&self.hosts, Method::GET, &path, Vec::new()).await
+    async fn hosts(&self, known_version: u64) -> Result<HostList, Error> {
+        let path = format!("{PATH_HOSTS}?{known_version}");
+        self.call_json(&self.hosts, Method::GET, &path, Vec::new())
+            .await
     }
 }
--- a/crates/store/src/retry.rs
+++ b/crates/store/src/retry.rs
@@ -7,20 +7,23 @@
 #[derive(Debug, Clone)]
 pub struct Backoff {
     bound: Duration,
-    most: Duration,
+    max: Duration,
 }
 
 impl Backoff {
     /// Waits that grow from `first` to `most`.
-    pub fn new(first: Duration, most: Duration) -> Self {
-        Self { bound: first, most }
+    pub fn new(initial: Duration, max: Duration) -> Self {
+        Self {
+            bound: initial,
+            max,
+        }
     }
 
     /// The next wait.
-    pub fn wait(&mut self) -> Duration {
-        let wait = jitter(self.bound);
-        self.bound = (self.bound * 2).min(self.most);
-        wait
+    pub fn next_delay(&mut self) -> Duration {
+        let delay = jitter(self.bound);
+        self.bound = (self.bound * 2).min(self.max);
+        delay
     }
 }
 
@@ -30,6 +33,6 @@
 }
 
 /// A duration drawn within a fifth of `mean`, for polls.
-pub fn around(mean: Duration) -> Duration {
+pub fn jittered_interval(mean: Duration) -> Duration {
     mean.mul_f64(0.8 + 0.4 * fastrand::f64())
 }
--- a/crates/store/src/table.rs
+++ b/crates/store/src/table.rs
@@ -12,7 +12,7 @@
 
 impl Token {
     /// Draws a new token.
-    pub fn draw() -> Self {
+    pub fn random() -> Self {
         Self(fastrand::u64(1..))
     }
 }
@@ -63,7 +63,7 @@
     /// A transaction with a token of its own.
     pub fn new() -> Self {
         Self {
-            token: Token::draw(),
+            token: Token::random(),
             checks: Vec::new(),
             puts: Vec::new(),
         }
@@ -110,7 +110,7 @@
         /// The service wasn't reached, or didn't answer in time.
         Unavailable(why: String) { display("platform unavailable: {why}") }
         /// The service answered something that isn't its protocol.
-        Nonsense(why: String) { display("platform answered nonsense: {why}") }
+        InvalidResponse(why: String) { display("platform answered nonsense: {why}") }
     }
 }
 
@@ -197,5 +197,5 @@
 /// The host list.
 pub trait Hosts {
     /// Reads the list if it is newer than `have`.
-    fn hosts(&self, have: u64) -> impl Future<Output = Result<HostList, Error>> + Send;
+    fn hosts(&self, known_version: u64) -> impl Future<Output = Result<HostList, Error>> + Send;
 }
--- a/crates/store/tests/docs.rs
+++ b/crates/store/tests/docs.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use store::Documents;
-use store::docs::Offered;
+use store::docs::OfferResult;
 use wire::DocText;
 
 fn text(service: &str, queue: u64) -> String {
@@ -22,34 +22,34 @@
 }
 
 #[test]
-fn invalid_and_foreign_documents_change_nothing() {
+fn invalid_documents_and_those_of_other_services_change_nothing() {
     let documents = Documents::new(&["s".into()]);
-    assert_eq!(documents.offer(&offer("s", 3)), Offered::Taken);
+    assert_eq!(documents.offer(&offer("s", 3)), OfferResult::Accepted);
     let broken = DocText {
         text: "nonsense".into(),
         ..offer("s", 9)
     };
-    assert_eq!(documents.offer(&broken), Offered::Invalid);
+    assert_eq!(documents.offer(&broken), OfferResult::Invalid);
     let other = DocText {
         text: text("t", 9),
         ..offer("s", 9)
     };
-    assert_eq!(documents.offer(&other), Offered::Invalid);
-    assert_eq!(documents.offer(&offer("t", 1)), Offered::Invalid);
+    assert_eq!(documents.offer(&other), OfferResult::Invalid);
+    assert_eq!(documents.offer(&offer("t", 1)), OfferResult::Invalid);
     assert_eq!(documents.version("s"), 3);
 }
 
 #[test]
-fn a_version_that_was_heard_of_is_wanted_until_it_is_there() {
+fn a_version_known_from_a_peer_is_reported_as_newer_until_it_is_in_force() {
     let documents = Documents::new(&["s".into()]);
-    assert_eq!(documents.behind("s"), None);
-    documents.heard("s", 4);
-    documents.heard("s", 2);
-    assert_eq!(documents.behind("s"), Some(4));
-    assert_eq!(documents.offer(&offer("s", 3)), Offered::Taken);
-    assert_eq!(documents.behind("s"), Some(4));
-    assert_eq!(documents.offer(&offer("s", 4)), Offered::Taken);
-    assert_eq!(documents.behind("s"), None);
+    assert_eq!(documents.newer_version("s"), None);
+    documents.note_version("s", 4);
+    documents.note_version("s", 2);
+    assert_eq!(documents.newer_version("s"), Some(4));
+    assert_eq!(documents.offer(&offer("s", 3)), OfferResult::Accepted);
+    assert_eq!(documents.newer_version("s"), Some(4));
+    assert_eq!(documents.offer(&offer("s", 4)), OfferResult::Accepted);
+    assert_eq!(documents.newer_version("s"), None);
 }
 
 proptest! {
@@ -63,7 +63,7 @@
         let mut highest = [0, 0];
         for (at, version) in offers {
             let taken = documents.offer(&offer(names[at], version));
-            prop_assert_eq!(taken == Offered::Taken, version > highest[at]);
+            prop_assert_eq!(taken == OfferResult::Accepted, version > highest[at]);
             highest[at] = highest[at].max(version);
             for (name, highest) in names.iter().zip(highest) {
                 prop_assert_eq!(documents.version(name), highest);
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest frame that is taken, in bytes.
-pub const MAX_FRAME: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 /// Bytes of the length before a frame.
-const LENGTH: usize = 4;
+const LENGTH_BYTES: usize = 4;
 
 /// One frame of an answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -61,10 +61,10 @@
 impl Frame {
     /// Encodes the frame behind its length.
     pub fn encode(&self) -> Bytes {
-        let mut buf = vec![0; LENGTH];
+        let mut buf = vec![0; LENGTH_BYTES];
         rmp_serde::encode::write(&mut buf, self).expect("frames always encode");
-        let len = (buf.len() - LENGTH) as u32;
-        buf[..LENGTH].copy_from_slice(&len.to_be_bytes());
+        let len = (buf.len() - LENGTH_BYTES) as u32;
+        buf[..LENGTH_BYTES].copy_from_slice(&len.to_be_bytes());
         Bytes::from(buf)
     }
 }
@@ -82,29 +82,29 @@
     }
 
     /// Takes the next whole frame, if there is one.
-    pub fn pop(&mut self) -> Result<Option<Frame>, StreamFault> {
-        let Some(head) = self.buf.first_chunk::<LENGTH>() else {
+    pub fn pop(&mut self) -> Result<Option<Frame>, StreamError> {
+        let Some(head) = self.buf.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let len = u32::from_be_bytes(*head) as usize;
-        if len > MAX_FRAME {
-            return Err(StreamFault::Malformed);
+        if len > MAX_FRAME_BYTES {
+            return Err(StreamError::Malformed);
         }
-        if self.buf.len() < LENGTH + len {
+        if self.buf.len() < LENGTH_BYTES + len {
             return Ok(None);
         }
-        self.buf.advance(LENGTH);
+        self.buf.advance(LENGTH_BYTES);
         let body = self.buf.split_to(len);
         rmp_serde::from_slice(&body)
             .map(Some)
-            .map_err(|_| StreamFault::Malformed)
+            .map_err(|_| StreamError::Malformed)
     }
 }
 
 quick_error! {
     /// Why an answer can't be trusted any further.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum StreamFault {
+    pub enum StreamError {
         /// Bytes that are no frame.
         Malformed { display("malformed frame") }
         /// A frame of another request.
@@ -120,7 +120,7 @@
 #[derive(Debug)]
 pub struct StreamCheck {
     request: RequestId,
-    next: u32,
+    next_index: u32,
     counted: u64,
 }
 
@@ -129,24 +129,24 @@
     pub fn new(request: RequestId, counted: u64) -> Self {
         Self {
             request,
-            next: 0,
+            next_index: 0,
             counted,
         }
     }
 
     /// Takes the next frame.
-    pub fn take(&mut self, frame: Frame) -> Result<Part, StreamFault> {
+    pub fn take(&mut self, frame: Frame) -> Result<Part, StreamError> {
         if frame.request != self.request {
-            return Err(StreamFault::Foreign);
+            return Err(StreamError::Foreign);
         }
-        if frame.index != self.next {
-            return Err(StreamFault::OutOfOrder);
+        if frame.index != self.next_index {
+            return Err(StreamError::OutOfOrder);
         }
-        self.next += 1;
+        self.next_index += 1;
         match &frame.part {
             Part::Token(_) => self.counted += 1,
             Part::Body(b) => self.counted += b.len() as u64,
-            Part::End { count } if *count != self.counted => return Err(StreamFault::WrongCount),
+            Part::End { count } if *count != self.counted => return Err(StreamError::WrongCount),
             _ => {}
         }
         Ok(frame.part)
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod message;
 pub mod prefix;
 
-pub use frame::{Frame, FrameReader, Part, StreamCheck, StreamFault};
+pub use frame::{Frame, FrameReader, Part, StreamCheck, StreamError};
 pub use message::{
     AgentState, AgentStatus, Call, Completion, DocText, Model, Outcome, PlainCall, Probe,
     ProbeAnswer, Reason, Refusal, RequestContext, RequestId, Role,
--- a/crates/wire/src/prefix.rs
+++ b/crates/wire/src/prefix.rs
@@ -7,26 +7,26 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 /// Shortest prefix that is spoken of, in bytes.
-pub const MIN_PREFIX: usize = 256;
+pub const MIN_PREFIX_BYTES: usize = 256;
 /// Most prefixes of one prompt.
 pub const MAX_PREFIXES: usize = 14;
 
 /// Hashes of the prompt's first 256, 512, 1024, ... bytes, shortest first.
 pub fn hashes(prompt: &[u8]) -> Vec<u64> {
-    let mut out = Vec::new();
+    let mut hashes = Vec::new();
     let mut state = Xxh3::new();
-    let (mut done, mut len) = (0, MIN_PREFIX);
-    while len <= prompt.len() && out.len() < MAX_PREFIXES {
-        state.update(&prompt[done..len]);
-        out.push(state.digest());
-        (done, len) = (len, len * 2);
+    let (mut hashed, mut len) = (0, MIN_PREFIX_BYTES);
+    while len <= prompt.len() && hashes.len() < MAX_PREFIXES {
+        state.update(&prompt[hashed..len]);
+        hashes.push(state.digest());
+        (hashed, len) = (len, len * 2);
     }
-    out
+    hashes
 }
 
 /// Length in bytes of the prefix at a place in [`hashes`].
 pub fn length_at(index: usize) -> usize {
-    MIN_PREFIX << index
+    MIN_PREFIX_BYTES << index
 }
 
 /// Rank of a name for a key in rendezvous hashing; the highest rank wins.
