--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -1,10 +1,9 @@
 //! Settings of one process.
 //!
-//! A process learns from them its addresses, its host and availability zone,
-//! and where the platform is. Everything about a service is in the service's
-//! document instead.
+//! They contain its addresses, its host and availability zone, and the addresses of the platform.
+//! Everything about a service is in the service's document instead.
 
-use crate::fault::Faults;
+use crate::error::ParseErrors;
 use crate::yaml::{self, Fields};
 use marked_yaml::Node;
 use std::net::SocketAddr;
@@ -15,78 +14,78 @@
 pub struct Settings {
     /// Name of this process in logs and records.
     pub name: String,
-    /// Host that it runs on.
+    /// Host on which it runs.
     pub host: String,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Where callers (of an entry) or peers (of an agent) connect.
+    /// Address for callers of an entry, or for peers of an agent.
     pub listen: SocketAddr,
-    /// Where health and metrics are served.
+    /// Address for health and metrics.
     pub admin: SocketAddr,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Services that an entry routes to; an agent has just its own.
+    /// Services that an entry routes to. An agent has only its own.
     pub services: Vec<String>,
-    /// An agent's upstream; an entry has none.
+    /// Upstream of an agent; `None` for an entry.
     pub upstream: Option<UpstreamSettings>,
     /// Limits.
     pub limits: Limits,
 }
 
-/// What an agent stands before.
+/// Upstream of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamSettings {
-    /// The upstream's name in the document.
+    /// Name of the upstream in the document.
     pub name: String,
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: SocketAddr,
 }
 
-/// Where the platform's services are, and how long one call may take.
+/// Addresses of the platform's services, and the timeout of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Platform {
     /// The transactional table service.
     pub table: SocketAddr,
     /// The object store.
     pub objects: SocketAddr,
-    /// The list of live and leaving hosts.
+    /// The host list.
     pub hosts: SocketAddr,
-    /// Longest that one call may take.
+    /// Timeout of a call.
     pub timeout: Duration,
 }
 
-/// Limits of a process. Each has a default.
+/// Limits of a process. Each one has a default.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest body of a caller's request.
+    /// Maximum size of the body of a caller's request, in bytes.
     pub body: usize,
-    /// Largest head of a caller's request.
+    /// Maximum size of the head of a caller's request, in bytes.
     pub head: usize,
-    /// Longest that a caller may take to send a request.
+    /// Maximum time for receiving a caller's request.
     pub read_timeout: Duration,
-    /// Longest that a probe may take.
+    /// Timeout of a probe.
     pub probe_timeout: Duration,
-    /// Longest pause in an upstream's answer before it counts as broken.
+    /// Maximum pause in an upstream's response before the upstream counts as broken.
     pub idle_timeout: Duration,
-    /// Time between looks at the documents' versions.
+    /// Interval of polls of the documents' versions.
     pub doc_poll: Duration,
-    /// Time between looks at the host list.
+    /// Interval of polls of the host list.
     pub host_poll: Duration,
-    /// How long an entry goes on taking connections after it began to stop.
+    /// Time for which an entry still accepts connections after the stop signal.
     pub linger: Duration,
-    /// Longest wait for running requests when a process stops.
+    /// Maximum time that a stopping process waits for running requests.
     pub drain_bound: Duration,
-    /// Longest that a record waits for its batch.
+    /// Maximum time that a record waits for its batch.
     pub record_flush: Duration,
-    /// Most records that wait while the object store is down.
+    /// Maximum number of buffered records while the object store is unavailable.
     pub record_buffer: u32,
-    /// How long a lease stands unrenewed before another may take it.
+    /// Time without renewal after which another process may take a lease.
     pub lease: Duration,
-    /// Sends per request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub attempts: u32,
-    /// Tenants with histograms of their own; the others share one.
+    /// Number of tenants with their own histograms. The others share one.
     pub tenant_metrics: u32,
-    /// Largest answer that is kept with a claim.
+    /// Maximum size of a response that is stored with a claim, in bytes.
     pub kept_answer: usize,
 }
 
@@ -113,27 +112,34 @@
 }
 
 impl Settings {
-    /// Reads and checks settings; all faults come at once.
-    pub fn parse(text: &str) -> Result<Self, Faults> {
+    /// Parses and validates settings. The error contains all problems found.
+    pub fn parse(text: &str) -> Result<Self, ParseErrors> {
         yaml::load(text, read_settings)
     }
 }
 
-fn read_settings(node: &Node, cx: &mut Faults) -> Option<Settings> {
-    let mut f = Fields::open(node, cx)?;
-    let name = f.need("name", yaml::name, cx);
-    let host = f.need("host", yaml::name, cx);
-    let zone = f.need("zone", yaml::name, cx);
-    let listen = f.need("listen", yaml::address, cx);
-    let admin = f.need("admin", yaml::address, cx);
-    let platform = f.need("platform", platform, cx);
-    let services = f.need("services", |n, cx| yaml::list(n, cx, yaml::name), cx);
-    let upstream = f.may("upstream", upstream, cx);
-    let limits = f.may("limits", limits, cx);
+fn read_settings(node: &Node, errors: &mut ParseErrors) -> Option<Settings> {
+    let mut f = Fields::open(node, errors)?;
+    let name = f.required("name", yaml::name, errors);
+    let host = f.required("host", yaml::name, errors);
+    let zone = f.required("zone", yaml::name, errors);
+    let listen = f.required("listen", yaml::address, errors);
+    let admin = f.required("admin", yaml::address, errors);
+    let platform = f.required("platform", platform, errors);
+    let services = f.required(
+        "services",
+        |n, errors| yaml::list(n, errors, yaml::name),
+        errors,
+    );
+    let upstream = f.optional("upstream", upstream, errors);
+    let limits = f.optional("limits", limits, errors);
     if services.as_ref().is_some_and(Vec::is_empty) {
-        cx.add(f.place_of("services"), "at least one service must be named");
+        errors.add(
+            f.position_of("services"),
+            "at least one service must be named",
+        );
     }
-    f.close(cx);
+    f.reject_unknown(errors);
     Some(Settings {
         name: name?,
         host: host?,
@@ -147,13 +153,13 @@
     })
 }
 
-fn platform(node: &Node, cx: &mut Faults) -> Option<Platform> {
-    let mut f = Fields::open(node, cx)?;
-    let table = f.need("table", yaml::address, cx);
-    let objects = f.need("objects", yaml::address, cx);
-    let hosts = f.need("hosts", yaml::address, cx);
-    let timeout = f.need("timeout", yaml::duration, cx);
-    f.close(cx);
+fn platform(node: &Node, errors: &mut ParseErrors) -> Option<Platform> {
+    let mut f = Fields::open(node, errors)?;
+    let table = f.required("table", yaml::address, errors);
+    let objects = f.required("objects", yaml::address, errors);
+    let hosts = f.required("hosts", yaml::address, errors);
+    let timeout = f.required("timeout", yaml::duration, errors);
+    f.reject_unknown(errors);
     Some(Platform {
         table: table?,
         objects: objects?,
@@ -162,50 +168,50 @@
     })
 }
 
-fn upstream(node: &Node, cx: &mut Faults) -> Option<UpstreamSettings> {
-    let mut f = Fields::open(node, cx)?;
-    let name = f.need("name", yaml::name, cx);
-    let address = f.need("address", yaml::address, cx);
-    f.close(cx);
+fn upstream(node: &Node, errors: &mut ParseErrors) -> Option<UpstreamSettings> {
+    let mut f = Fields::open(node, errors)?;
+    let name = f.required("name", yaml::name, errors);
+    let address = f.required("address", yaml::address, errors);
+    f.reject_unknown(errors);
     Some(UpstreamSettings {
         name: name?,
         address: address?,
     })
 }
 
-fn limits(node: &Node, cx: &mut Faults) -> Option<Limits> {
-    let mut f = Fields::open(node, cx)?;
+fn limits(node: &Node, errors: &mut ParseErrors) -> Option<Limits> {
+    let mut f = Fields::open(node, errors)?;
     let mut l = Limits::default();
-    let set_size = |f: &mut Fields<'_>, key, to: &mut usize, cx: &mut Faults| {
-        *to = f.may(key, yaml::size, cx).unwrap_or(*to);
+    let set_size = |f: &mut Fields<'_>, key, to: &mut usize, errors: &mut ParseErrors| {
+        *to = f.optional(key, yaml::size, errors).unwrap_or(*to);
     };
-    set_size(&mut f, "body", &mut l.body, cx);
-    set_size(&mut f, "head", &mut l.head, cx);
-    set_size(&mut f, "kept_answer", &mut l.kept_answer, cx);
-    let set_time = |f: &mut Fields<'_>, key, to: &mut Duration, cx: &mut Faults| {
-        *to = f.may(key, yaml::duration, cx).unwrap_or(*to);
+    set_size(&mut f, "body", &mut l.body, errors);
+    set_size(&mut f, "head", &mut l.head, errors);
+    set_size(&mut f, "kept_answer", &mut l.kept_answer, errors);
+    let set_time = |f: &mut Fields<'_>, key, to: &mut Duration, errors: &mut ParseErrors| {
+        *to = f.optional(key, yaml::duration, errors).unwrap_or(*to);
         if to.is_zero() {
-            cx.add(f.place_of(key), format!("`{key}` must be over 0"));
+            errors.add(f.position_of(key), format!("`{key}` must be over 0"));
         }
     };
-    set_time(&mut f, "read_timeout", &mut l.read_timeout, cx);
-    set_time(&mut f, "probe_timeout", &mut l.probe_timeout, cx);
-    set_time(&mut f, "idle_timeout", &mut l.idle_timeout, cx);
-    set_time(&mut f, "doc_poll", &mut l.doc_poll, cx);
-    set_time(&mut f, "host_poll", &mut l.host_poll, cx);
-    set_time(&mut f, "linger", &mut l.linger, cx);
-    set_time(&mut f, "drain_bound", &mut l.drain_bound, cx);
-    set_time(&mut f, "record_flush", &mut l.record_flush, cx);
-    set_time(&mut f, "lease", &mut l.lease, cx);
-    let set_count = |f: &mut Fields<'_>, key, to: &mut u32, cx: &mut Faults| {
-        *to = f.may(key, yaml::count, cx).unwrap_or(*to);
+    set_time(&mut f, "read_timeout", &mut l.read_timeout, errors);
+    set_time(&mut f, "probe_timeout", &mut l.probe_timeout, errors);
+    set_time(&mut f, "idle_timeout", &mut l.idle_timeout, errors);
+    set_time(&mut f, "doc_poll", &mut l.doc_poll, errors);
+    set_time(&mut f, "host_poll", &mut l.host_poll, errors);
+    set_time(&mut f, "linger", &mut l.linger, errors);
+    set_time(&mut f, "drain_bound", &mut l.drain_bound, errors);
+    set_time(&mut f, "record_flush", &mut l.record_flush, errors);
+    set_time(&mut f, "lease", &mut l.lease, errors);
+    let set_count = |f: &mut Fields<'_>, key, to: &mut u32, errors: &mut ParseErrors| {
+        *to = f.optional(key, yaml::count, errors).unwrap_or(*to);
         if *to == 0 {
-            cx.add(f.place_of(key), format!("`{key}` must be over 0"));
+            errors.add(f.position_of(key), format!("`{key}` must be over 0"));
         }
     };
-    set_count(&mut f, "record_buffer", &mut l.record_buffer, cx);
-    set_count(&mut f, "attempts", &mut l.attempts, cx);
-    set_count(&mut f, "tenant_metrics", &mut l.tenant_metrics, cx);
-    f.close(cx);
+    set_count(&mut f, "record_buffer", &mut l.record_buffer, errors);
+    set_count(&mut f, "attempts", &mut l.attempts, errors);
+    set_count(&mut f, "tenant_metrics", &mut l.tenant_metrics, errors);
+    f.reject_unknown(errors);
     Some(l)
 }
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -7,7 +7,7 @@
 use crate::quota::Grant;
 use crate::serve::FinishEstimate;
 use crate::state::{Gateway, RunningGuard};
-use observe::{Event, Labels, Seconds, UnderConfig, emit};
+use observe::{ConfigContext, Event, Labels, Latency, emit};
 use resilience::Fingerprint;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -183,7 +183,7 @@
             work: self.fingerprint.map(|work| work.to_string()),
             route: self.route.as_deref(),
             service: self.service.as_deref(),
-            under: &UnderConfig {
+            under: &ConfigContext {
                 tenant: self.tenant.as_deref(),
                 key_removed_by: self.key_removed_by,
                 config: self.config_version,
@@ -224,10 +224,10 @@
             tenant: self.tenant.as_deref().unwrap_or(NONE),
         };
         let metrics = &self.gateway.metrics;
-        metrics.count(labels, outcome.name(), reason.unwrap_or(NONE));
-        metrics.time(labels, Seconds::Total, total.as_secs_f64());
+        metrics.count_request(labels, outcome.name(), reason.unwrap_or(NONE));
+        metrics.observe_latency(labels, Latency::Total, total.as_secs_f64());
         if let Some(first) = self.first_byte_after {
-            metrics.time(labels, Seconds::First, first.as_secs_f64());
+            metrics.observe_latency(labels, Latency::FirstByte, first.as_secs_f64());
         }
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -16,7 +16,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONTENT_ENCODING, HeaderMap};
 use hyper::{Request, StatusCode};
-use net::h1::Returned;
+use net::h1::PooledConnection;
 use net::{Body, CallError, full};
 use observe::{Event, emit};
 use platform::header::{self, Step, ToWorker};
@@ -60,7 +60,7 @@
 pub struct BodyRest {
     /// The body.
     pub body: Incoming,
-    conn: Returned,
+    conn: PooledConnection,
     idle: Duration,
 }
 
@@ -68,7 +68,7 @@
     /// Returns the connection to the pool. Must be called only after the end of the body.
     pub fn finish(self) {
         drop(self.body);
-        self.conn.keep(Some(self.idle));
+        self.conn.release(Some(self.idle));
     }
 }
 
@@ -191,7 +191,7 @@
         }
     };
     account.attempts += 1;
-    let (res, conn) = answer.split();
+    let (res, conn) = answer.into_parts();
     let (head, body) = res.into_parts();
     let from_worker = header::from_worker(&head.headers, &call.incoming.id);
     if !from_worker.is_ours {
@@ -206,7 +206,7 @@
         // NB: the body of a rejection is short; the connection is kept only if the body has
         // already arrived.
         if body.is_end_stream() {
-            conn.keep(Some(idle));
+            conn.release(Some(idle));
         }
         watch.cancel();
         (account.may_have_run, account.begin) = (had_run, begin);
@@ -271,7 +271,7 @@
     let is_large = rest.body.size_hint().lower() > MAX_BUFFERED_BYTES;
     if !call.target().route.kind.is_stream() && !is_large {
         let whole = rest.body.collect().await.map_err(|e| e.to_string())?;
-        rest.conn.keep(Some(rest.idle));
+        rest.conn.release(Some(rest.idle));
         return Ok((Some(whole.to_bytes()), None));
     }
     loop {
--- a/crates/gateway/src/follow/unreadable.rs
+++ b/crates/gateway/src/follow/unreadable.rs
@@ -44,7 +44,7 @@
             return;
         }
         let reason = row.why.name();
-        metrics.unreadable(reason);
+        metrics.count_unreadable_entry(reason);
         if action == LogAction::Count {
             return;
         }
--- a/crates/net/src/h1.rs
+++ b/crates/net/src/h1.rs
@@ -1,7 +1,7 @@
 //! A small pool of HTTP/1 connections to one address.
 //!
-//! It never repeats a request by itself: a library's pool that does would run
-//! a non-idempotent call twice.
+//! It never repeats a request by itself. HTTP libraries' own pools may do that, which would run a
+//! non-idempotent call twice.
 
 use crate::body::Body;
 use crate::client::{Connection, connect};
@@ -16,10 +16,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Idle connections that are kept.
+/// Maximum number of idle connections in the pool.
 const MAX_IDLE: usize = 32;
 
-/// Connections to one address.
+/// A pool of connections to one address.
 #[derive(Debug, Clone)]
 pub struct Pool {
     addr: SocketAddr,
@@ -28,56 +28,56 @@
     idle: Arc<Mutex<Vec<Idle>>>,
 }
 
-/// A connection that waits for its next request.
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     conn: SendRequest<Body>,
-    /// Until when it may be used; the other side may close it later.
-    until: Option<Instant>,
+    /// Time after which it isn't used any more, because the peer may close it.
+    usable_until: Option<Instant>,
 }
 
-/// An answer whose body is still to come, with the connection to give back.
+/// A response whose body is still to be read, with its connection.
 #[derive(Debug)]
-pub struct Answer {
+pub struct PooledResponse {
     /// Status, headers and body.
     pub response: Response<Incoming>,
-    conn: Returned,
+    conn: PooledConnection,
 }
 
-/// A connection in use, to be given back to its pool.
+/// A connection in use, which can be returned to its pool.
 #[derive(Debug)]
-pub struct Returned {
+pub struct PooledConnection {
     conn: SendRequest<Body>,
     pool: Pool,
 }
 
-impl Answer {
-    /// Gives the connection back once the body was read to its end.
-    pub fn done(self) {
+impl PooledResponse {
+    /// Returns the connection to the pool. The body must have been read to its end.
+    pub fn release(self) {
         drop(self.response);
-        self.conn.keep(None);
+        self.conn.release(None);
     }
 
-    /// The answer apart from its connection.
-    pub fn split(self) -> (Response<Incoming>, Returned) {
+    /// Splits the response from its connection.
+    pub fn into_parts(self) -> (Response<Incoming>, PooledConnection) {
         (self.response, self.conn)
     }
 }
 
-impl Returned {
-    /// Gives the connection back, for use within a time if the other side closes
-    /// it after one. Only for connections whose last body was read to its end.
-    pub fn keep(self, idle: Option<Duration>) {
-        let until = idle.map(|idle| Instant::now() + idle);
+impl PooledConnection {
+    /// Returns the connection to the pool. It is used again only within `idle_timeout`, after which
+    /// the peer may close it. The last body must have been read to its end.
+    pub fn release(self, idle_timeout: Option<Duration>) {
+        let usable_until = idle_timeout.map(|timeout| Instant::now() + timeout);
         self.pool.put(Idle {
             conn: self.conn,
-            until,
+            usable_until,
         });
     }
 }
 
 impl Pool {
-    /// A pool for an address; `timeout` bounds connecting.
+    /// Creates a pool for an address. `timeout` applies to connecting.
     pub fn new(addr: SocketAddr, timeout: Duration) -> Self {
         Self {
             addr,
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Counts the bytes of its connections with a meter.
+    /// Counts the bytes of all connections with a meter.
     pub fn metered(self, meter: &Meter) -> Self {
         let meter = meter.clone();
         Self { meter, ..self }
     }
 
-    /// The address.
+    /// Address of the peer.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -103,43 +103,45 @@
         self.idle.lock().expect("no panic while locked").clear();
     }
 
-    /// Whether a kept connection is still open, as far as is known.
+    /// Whether the pool has an idle connection that seems to be open.
     pub fn has_open(&self) -> bool {
-        let kept = self.idle.lock().expect("no panic while locked");
-        kept.iter().any(|idle| idle.conn.is_ready())
+        let idle_conns = self.idle.lock().expect("no panic while locked");
+        idle_conns.iter().any(|idle| idle.conn.is_ready())
     }
 
     fn put(&self, idle: Idle) {
-        let mut kept = self.idle.lock().expect("no panic while locked");
-        if kept.len() < MAX_IDLE && !idle.conn.is_closed() {
-            kept.push(idle);
+        let mut idle_conns = self.idle.lock().expect("no panic while locked");
+        if idle_conns.len() < MAX_IDLE && !idle.conn.is_closed() {
+            idle_conns.push(idle);
         }
     }
 
     fn take(&self) -> Option<SendRequest<Body>> {
         let now = Instant::now();
-        let mut kept = self.idle.lock().expect("no panic while locked");
-        while let Some(idle) = kept.pop() {
-            let is_fresh = idle.until.is_none_or(|until| now < until);
-            if is_fresh && idle.conn.is_ready() {
+        let mut idle_conns = self.idle.lock().expect("no panic while locked");
+        while let Some(idle) = idle_conns.pop() {
+            let is_usable = idle
+                .usable_until
+                .is_none_or(|usable_until| now < usable_until);
+            if is_usable && idle.conn.is_ready() {
                 return Some(idle.conn);
             }
         }
         None
     }
 
-    /// Whether the other side takes a new connection.
+    /// Whether a new connection can be opened.
     pub async fn is_reachable(&self) -> bool {
         self.open().await.is_ok()
     }
 
     async fn open(&self) -> Result<SendRequest<Body>, CallError> {
         let io = connect(self.addr, self.timeout, &self.meter).await?;
-        shake_hands(io).await
+        http1_handshake(io).await
     }
 
-    /// Sends a request that the other side may see twice.
-    pub async fn send(&self, req: Request<Body>) -> Result<Answer, CallError> {
+    /// Sends a request that may safely be received twice.
+    pub async fn send(&self, req: Request<Body>) -> Result<PooledResponse, CallError> {
         let conn = match self.take() {
             Some(conn) => conn,
             None => self.open().await?,
@@ -147,25 +149,24 @@
         self.send_on(conn, req).await
     }
 
-    /// Sends a request on a kept connection, or on a new one if none is kept or
-    /// the kept one turns out to be closed before anything was written to it.
-    /// The other side sees the request at most once.
-    pub async fn send_once(&self, mut req: Request<Body>) -> Result<Answer, CallError> {
+    /// Sends a request on an idle connection, or on a new one if there is none or if the idle one
+    /// was closed before any data was written. The peer receives the request at most once.
+    pub async fn send_once(&self, mut req: Request<Body>) -> Result<PooledResponse, CallError> {
         if let Some(mut conn) = self.take() {
             match conn.try_send_request(req).await {
-                Ok(response) => return Ok(self.answer(conn, response)),
+                Ok(response) => return Ok(self.pooled(conn, response)),
                 Err(mut e) => match e.take_message() {
                     Some(unsent) => req = unsent,
                     None => return Err(CallError::MaybeSent(e.into_error().to_string())),
                 },
             }
         }
-        self.send_fresh(req).await
+        self.send_on_new(req).await
     }
 
-    /// Sends a request on a new connection. An idle one may have been closed by
-    /// the other side, and then nobody can tell whether the request was seen.
-    pub async fn send_fresh(&self, req: Request<Body>) -> Result<Answer, CallError> {
+    /// Sends a request on a new connection. An idle connection may be closed by the peer at the
+    /// same time, and then it would be unknown whether the peer has seen the request.
+    pub async fn send_on_new(&self, req: Request<Body>) -> Result<PooledResponse, CallError> {
         let conn = self.open().await?;
         self.send_on(conn, req).await
     }
@@ -174,9 +175,9 @@
         &self,
         mut conn: SendRequest<Body>,
         req: Request<Body>,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<PooledResponse, CallError> {
         match conn.try_send_request(req).await {
-            Ok(response) => Ok(self.answer(conn, response)),
+            Ok(response) => Ok(self.pooled(conn, response)),
             Err(mut e) => {
                 let is_unsent = e.take_message().is_some();
                 let why = e.into_error().to_string();
@@ -188,15 +189,15 @@
         }
     }
 
-    fn answer(&self, conn: SendRequest<Body>, response: Response<Incoming>) -> Answer {
+    fn pooled(&self, conn: SendRequest<Body>, response: Response<Incoming>) -> PooledResponse {
         let pool = self.clone();
-        Answer {
+        PooledResponse {
             response,
-            conn: Returned { conn, pool },
+            conn: PooledConnection { conn, pool },
         }
     }
 
-    /// Sends a request and reads the whole answer, both within `timeout`.
+    /// Sends a request and reads the whole response within `timeout`.
     pub async fn call(
         &self,
         req: Request<Body>,
@@ -204,29 +205,29 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let whole = async {
-            let mut answer = self.send(req).await?;
-            let status = answer.response.status();
-            let body = Limited::new(answer.response.body_mut(), limit)
+            let mut pooled = self.send(req).await?;
+            let status = pooled.response.status();
+            let body = Limited::new(pooled.response.body_mut(), limit)
                 .collect()
                 .await;
             let body = body
                 .map_err(|e| CallError::MaybeSent(e.to_string()))?
                 .to_bytes();
-            answer.done();
+            pooled.release();
             Ok((status, body))
         };
         match tokio::time::timeout(timeout, whole).await {
             Ok(result) => result,
-            Err(_) => Err(CallError::MaybeSent("no answer in time".into())),
+            Err(_) => Err(CallError::MaybeSent("response timeout".into())),
         }
     }
 }
 
-async fn shake_hands(io: Connection) -> Result<SendRequest<Body>, CallError> {
+async fn http1_handshake(io: Connection) -> Result<SendRequest<Body>, CallError> {
     let (conn, driver) = handshake(io)
         .await
         .map_err(|e| CallError::NotSent(e.to_string()))?;
-    // The driver ends with the connection; its error shows in the request.
+    // The driver ends with the connection. Its error is reported by the request.
     tokio::spawn(driver);
     Ok(conn)
 }
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -1,4 +1,4 @@
-//! A kept HTTP/2 connection to a peer.
+//! A persistent HTTP/2 connection to a peer.
 
 use crate::body::{Body, full};
 use crate::client::connect;
@@ -15,12 +15,12 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// Time between pings on a connection in use, and the longest wait for one's
-/// answer. A peer that is paused or cut off is given up after both.
-const PING_EVERY: Duration = Duration::from_secs(2);
+/// Interval between pings on a connection in use, and the timeout of a ping. The connection to a
+/// peer that is paused or unreachable is closed after both.
+const PING_INTERVAL: Duration = Duration::from_secs(2);
 const PING_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A peer, and the connection to it while there is one.
+/// A peer with its connection, if one is open.
 #[derive(Debug, Clone)]
 pub struct Peer {
     addr: SocketAddr,
@@ -30,7 +30,7 @@
 }
 
 impl Peer {
-    /// A peer at an address; `timeout` bounds connecting.
+    /// Creates a peer. `timeout` applies to connecting.
     pub fn new(addr: SocketAddr, timeout: Duration) -> Self {
         Self {
             addr,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts the bytes of its connections with a meter.
+    /// Counts the bytes of all connections with a meter.
     pub fn metered(self, meter: &Meter) -> Self {
         let meter = meter.clone();
         Self { meter, ..self }
@@ -52,31 +52,31 @@
     }
 
     async fn open(&self) -> Result<SendRequest<Body>, CallError> {
-        // Held across the connect on purpose: the others wait for this one
-        // connection and don't each open their own. The connect is bounded.
-        let mut kept = self.conn.lock().await;
-        if let Some(conn) = kept.as_ref().filter(|c| !c.is_closed()) {
+        // The lock is held while connecting, so that concurrent calls wait for this connection and
+        // don't open their own. Connecting has a timeout.
+        let mut current = self.conn.lock().await;
+        if let Some(conn) = current.as_ref().filter(|c| !c.is_closed()) {
             return Ok(conn.clone());
         }
-        *kept = None;
+        *current = None;
         let io = connect(self.addr, self.timeout, &self.meter).await?;
         let handshake = Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
-            .keep_alive_interval(PING_EVERY)
+            .keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT)
             .initial_stream_window_size(1 << 20)
             .initial_connection_window_size(8 << 20)
             .handshake(io);
         let (conn, driver) = match tokio::time::timeout(self.timeout, handshake).await {
             Ok(done) => done.map_err(|e| CallError::NotSent(e.to_string()))?,
-            Err(_) => return Err(CallError::NotSent("handshake took too long".into())),
+            Err(_) => return Err(CallError::NotSent("handshake timeout".into())),
         };
         tokio::spawn(driver);
-        *kept = Some(conn.clone());
+        *current = Some(conn.clone());
         Ok(conn)
     }
 
-    /// Sends a request; its answer's body is still to come.
+    /// Sends a request. The body of the response is still to be read.
     pub async fn send(&self, req: Request<Body>) -> Result<Response<Incoming>, CallError> {
         let mut conn = self.open().await?;
         conn.ready()
@@ -87,7 +87,7 @@
             .map_err(|e| CallError::MaybeSent(e.to_string()))
     }
 
-    /// Builds a request with a body for this peer.
+    /// Builds a request to this peer.
     pub fn request(&self, method: Method, path: &str, body: Vec<u8>) -> Request<Body> {
         Request::builder()
             .method(method)
@@ -96,7 +96,7 @@
             .expect("our own paths are valid")
     }
 
-    /// Sends a request and reads the whole answer, both within `timeout`.
+    /// Sends a request and reads the whole response within `timeout`.
     pub async fn call(
         &self,
         method: Method,
@@ -106,15 +106,15 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let whole = async {
-            let answer = self.send(self.request(method, path, body)).await?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), limit).collect().await;
+            let response = self.send(self.request(method, path, body)).await?;
+            let status = response.status();
+            let body = Limited::new(response.into_body(), limit).collect().await;
             let body = body.map_err(|e| CallError::MaybeSent(e.to_string()))?;
             Ok((status, body.to_bytes()))
         };
         match tokio::time::timeout(timeout, whole).await {
             Ok(result) => result,
-            Err(_) => Err(CallError::MaybeSent("no answer in time".into())),
+            Err(_) => Err(CallError::MaybeSent("response timeout".into())),
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,5 @@
-//! What every process of the system has: its name and incarnation, the
-//! platform's clients, the documents in force, the host list, records,
-//! metrics, and the admin server.
+//! Parts shared by all processes: identity, platform clients, documents in force, host list,
+//! records, metrics and admin server.
 
 use conf::Settings;
 use hyper::body::Incoming;
@@ -14,70 +13,70 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
-use store::poll::{AlsoRows, DocPoll, LeavingHosts, poll_hosts};
+use store::poll::{DocPoll, ExtraRows, LeavingHosts, poll_hosts};
 use store::{Documents, HttpPlatform};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// Largest head on the admin address.
-const ADMIN_HEAD: usize = 16 << 10;
-/// Longest wait for a head on the admin address.
-const ADMIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between looks at whether running requests have ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// Longest wait, once the time of running requests is up, for callers and peers to take
-/// what was sent and for the last claims. An answer that nobody takes holds no process.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
-/// Longest wait for the last records when a process ends.
-const LAST_RECORDS: Duration = Duration::from_secs(5);
+/// Maximum size of a request head on the admin address, in bytes.
+const ADMIN_HEAD_BYTES: usize = 16 << 10;
+/// Maximum time for receiving a request head on the admin address.
+const ADMIN_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval of checks whether all running requests have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after the stop deadline for callers and peers to read what was sent, and for the last
+/// claims to be written. A response that is never read doesn't keep the process from exiting.
+const FINAL_RESPONSES_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time for writing the last records when the process exits.
+const FINAL_RECORDS_TIMEOUT: Duration = Duration::from_secs(5);
 
 quick_error! {
-    /// Why a process can't start.
+    /// Why a process couldn't start.
     #[derive(Debug)]
     pub enum StartError {
-        /// An address can't be bound; another process may hold it.
+        /// The address can't be bound. Another process may be using it.
         Bind(addr: SocketAddr, e: std::io::Error) { display("can't bind {addr}: {e}") }
-        /// The settings don't fit the process.
+        /// The settings are wrong for this process.
         Settings(why: &'static str) { display("settings: {why}") }
     }
 }
 
-/// The parts that every process has.
+/// Parts shared by all processes.
 #[derive(Debug)]
 pub struct Node {
     /// The settings.
     pub settings: Settings,
-    /// Name and incarnation; no two processes ever share it.
+    /// Name and incarnation of the process, which is globally unique.
     pub id: String,
-    /// The platform's clients.
+    /// Clients of the platform.
     pub platform: HttpPlatform,
     /// The documents in force.
     pub documents: Arc<Documents>,
     /// Hosts that are leaving, as far as this process knows.
     pub leaving: Arc<LeavingHosts>,
-    /// Makes the next look at the documents come at once.
+    /// Triggers a poll of the documents immediately.
     pub nudge: Arc<Notify>,
-    /// Bytes between this process and the platform.
+    /// Bytes of the connections to the platform.
     pub platform_bytes: Meter,
-    /// Bytes of control between this process and its peers: all but requests.
+    /// Bytes of control traffic with peers, which excludes requests.
     pub peer_bytes: Meter,
     /// Metrics.
     pub metrics: Metrics,
     /// Records.
     pub recorder: Recorder,
-    /// Given when the process should end: by a signal, or as its host leaves.
+    /// Sent when the process should stop: by an OS signal or because its host is leaving.
     pub stop: Stop,
     running: AtomicU64,
     stopping: OnceLock<Stopping>,
-    /// Given when the time of running requests is up.
-    ended: Stop,
+    /// Sent when the drain has ended, after which no requests may run.
+    drain_ended: Stop,
 }
 
 /// A stop that has begun.
 #[derive(Debug, Clone, Copy)]
 struct Stopping {
     since: Instant,
-    ends: Instant,
+    deadline: Instant,
 }
 
 /// Counts a request as running until it is dropped.
@@ -91,8 +90,8 @@
 }
 
 impl Node {
-    /// Starts the parts. Documents are polled along with `also`.
-    pub fn start(settings: Settings, also: Option<AlsoRows>, stop: Stop) -> Arc<Self> {
+    /// Starts all parts. `extra_rows` are read along with the documents.
+    pub fn start(settings: Settings, extra_rows: Option<ExtraRows>, stop: Stop) -> Arc<Self> {
         let id = format!("{}-{:012x}", settings.name, fastrand::u64(..) >> 16);
         let platform_bytes = Meter::default();
         let platform = HttpPlatform::metered(&settings.platform, &platform_bytes);
@@ -115,20 +114,20 @@
             stop,
             running: AtomicU64::new(0),
             stopping: OnceLock::new(),
-            ended: Stop::default(),
+            drain_ended: Stop::default(),
             platform,
             settings,
         });
-        node.clone().spawn_polls(also);
+        node.clone().spawn_polls(extra_rows);
         node
     }
 
-    fn spawn_polls(self: Arc<Self>, also: Option<AlsoRows>) {
+    fn spawn_polls(self: Arc<Self>, extra_rows: Option<ExtraRows>) {
         let limits = &self.settings.limits;
         let poll = DocPoll {
             documents: self.documents.clone(),
-            every: limits.doc_poll,
-            also,
+            interval: limits.doc_poll,
+            extra_rows,
             nudge: self.nudge.clone(),
         };
         tokio::spawn(poll.run(self.platform.clone()));
@@ -139,92 +138,95 @@
         );
         tokio::spawn(hosts);
         let leaving = self.leaving.clone();
-        tokio::spawn(async move { leaving.keep_pulse().await });
+        tokio::spawn(async move { leaving.detect_pauses().await });
         tokio::spawn(async move {
-            let mut changed = self.documents.watch();
+            let mut changed = self.documents.subscribe();
             loop {
                 for service in self.documents.services() {
-                    self.metrics.doc(&service, self.documents.version(&service));
+                    self.metrics
+                        .set_document_version(&service, self.documents.version(&service));
                 }
-                // The sender lives in `documents`, which `self` holds.
+                // Can't fail, since `self.documents` owns the sender.
                 let _ = changed.changed().await;
             }
         });
     }
 
-    /// Counts a request as running.
-    pub fn begin(self: &Arc<Self>) -> RunningGuard {
+    /// Counts a request as running until the guard is dropped.
+    pub fn begin_request(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::SeqCst);
         RunningGuard(self.clone())
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> u64 {
         self.running.load(Ordering::SeqCst)
     }
 
-    /// Notes that the process stops from now on, and may run requests for so long yet.
-    pub fn begin_stop(&self, within: Duration) {
+    /// Begins a stop. Running requests may continue for `timeout`.
+    pub fn begin_stop(&self, timeout: Duration) {
         let since = Instant::now();
-        let ends = since + within;
-        // A second call changes nothing: the end stands once it was told.
-        let _ = self.stopping.set(Stopping { since, ends });
+        let deadline = since + timeout;
+        // Later calls have no effect: the deadline doesn't change once it is known.
+        let _ = self.stopping.set(Stopping { since, deadline });
     }
 
-    /// When requests that still run are ended, if the process is stopping.
-    pub fn ends(&self) -> Option<Instant> {
-        self.stopping.get().map(|s| s.ends)
+    /// Time at which running requests are ended; `None` if the process isn't stopping.
+    pub fn stop_deadline(&self) -> Option<Instant> {
+        self.stopping.get().map(|s| s.deadline)
     }
 
-    /// How long after the stop began something came, if it came after.
-    pub fn since_stop(&self, came: Instant) -> Option<Duration> {
-        came.checked_duration_since(self.stopping.get()?.since)
+    /// Time from the start of the stop until `at`; `None` if the process wasn't stopping at that
+    /// time.
+    pub fn time_since_stop(&self, at: Instant) -> Option<Duration> {
+        at.checked_duration_since(self.stopping.get()?.since)
     }
 
-    /// Waits until the time of running requests is up; for ever if it never is.
-    pub async fn ended(&self) {
-        self.ended.stopped().await;
+    /// Waits until the drain has ended: no requests are left, or the stop deadline has passed.
+    /// Waits forever if the process isn't stopping.
+    pub async fn drain_ended(&self) {
+        self.drain_ended.stopped().await;
     }
 
-    /// Whether the time of running requests is up.
-    pub fn has_ended(&self) -> bool {
-        self.ended.is_stopped()
+    /// Whether the drain has ended.
+    pub fn has_drain_ended(&self) -> bool {
+        self.drain_ended.is_stopped()
     }
 
-    /// Waits until `idle` is over and nothing runs, or the time of a stop is up, and
-    /// ends what runs then. Gives how many that were.
-    pub async fn drained(&self, idle: impl Future) -> u64 {
+    /// Waits until `idle` has completed and no requests are running, or until the stop deadline.
+    /// Then ends the remaining requests and returns their number.
+    pub async fn drain(&self, idle: impl Future) -> u64 {
         let done = async {
             idle.await;
             while self.running() > 0 {
-                tokio::time::sleep(DRAIN_LOOK).await;
+                tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             }
         };
-        // Past the end the count below tells what is left.
-        let _ = tokio::time::timeout(self.left(), done).await;
+        // After a timeout, `unfinished` is the number of requests that are left.
+        let _ = tokio::time::timeout(self.time_left(), done).await;
         let unfinished = self.running();
-        self.ended.stop();
+        self.drain_ended.stop();
         unfinished
     }
 
-    /// Longest wait for what comes after a stop's last request.
-    pub fn last_answers(&self) -> Duration {
-        self.left() + LAST_ANSWERS
+    /// Maximum time for what follows the last request of a stop.
+    pub fn final_responses_timeout(&self) -> Duration {
+        self.time_left() + FINAL_RESPONSES_TIMEOUT
     }
 
-    /// What is left until a stop's end.
-    fn left(&self) -> Duration {
+    /// Time left until the stop deadline.
+    fn time_left(&self) -> Duration {
         let now = Instant::now();
-        let ends = self.ends().unwrap_or(now);
-        ends.saturating_duration_since(now)
+        let deadline = self.stop_deadline().unwrap_or(now);
+        deadline.saturating_duration_since(now)
     }
 
-    /// Writes the last records, within a bounded time.
+    /// Writes the last records, with a timeout.
     pub async fn close_records(&self) {
-        self.recorder.close(LAST_RECORDS).await;
+        self.recorder.close(FINAL_RECORDS_TIMEOUT).await;
     }
 
-    /// Serves health and metrics. `ready` says whether the process takes work.
+    /// Serves health and metrics. `ready` returns whether the process accepts work.
     pub fn serve_admin(
         self: &Arc<Self>,
         ready: impl Fn() -> bool + Clone + Send + Sync + 'static,
@@ -232,36 +234,38 @@
         let addr = self.settings.admin;
         let listener = bind(addr).map_err(|e| StartError::Bind(addr, e))?;
         let server = Server {
-            head: HeadLimits::new(ADMIN_TIMEOUT, ADMIN_HEAD),
+            head: HeadLimits::new(ADMIN_HEAD_TIMEOUT, ADMIN_HEAD_BYTES),
             protocol: Protocol::Any,
             drain: Stop::default(),
             stop: Stop::default(),
         };
         let node = self.clone();
         tokio::spawn(server.run(listener, move |req| {
-            let answer = node.admin(&req, &ready);
-            async move { answer }
+            let response = node.admin_response(&req, &ready);
+            async move { response }
         }));
         Ok(())
     }
 
-    fn admin(&self, req: &Request<Incoming>, ready: &impl Fn() -> bool) -> Response<Body> {
+    fn admin_response(&self, req: &Request<Incoming>, ready: &impl Fn() -> bool) -> Response<Body> {
         let (status, text) = match req.uri().path() {
             "/health" if ready() => (StatusCode::OK, b"ready\n".to_vec()),
             "/health" => (StatusCode::SERVICE_UNAVAILABLE, b"not ready\n".to_vec()),
             "/metrics" => {
-                self.metrics.bytes("platform", self.platform_bytes.bytes());
-                self.metrics.bytes("peers", self.peer_bytes.bytes());
-                (StatusCode::OK, self.metrics.text())
+                self.metrics
+                    .set_control_bytes("platform", self.platform_bytes.bytes());
+                self.metrics
+                    .set_control_bytes("peers", self.peer_bytes.bytes());
+                (StatusCode::OK, self.metrics.encode())
             }
             _ => (StatusCode::NOT_FOUND, b"not found\n".to_vec()),
         };
-        let mut answer = Response::new(full(text));
-        *answer.status_mut() = status;
-        answer
+        let mut response = Response::new(full(text));
+        *response.status_mut() = status;
+        response
     }
 
-    /// Binds the process's main address and says so in the log.
+    /// Binds the process's main address and logs it.
     pub fn listen(&self) -> Result<TcpListener, StartError> {
         let addr = self.settings.listen;
         let listener = bind(addr).map_err(|e| StartError::Bind(addr, e))?;
@@ -273,14 +277,14 @@
         Ok(listener)
     }
 
-    /// Gives the stop signal once this process's host is called leaving.
+    /// Sends the stop signal when this process's host is leaving.
     pub async fn stop_when_leaving(self: Arc<Self>) {
         while !self.leaving.contains(&self.settings.host) {
-            tokio::time::sleep(self.settings.limits.host_poll.min(LEAVING_LOOK)).await;
+            tokio::time::sleep(self.settings.limits.host_poll.min(LEAVING_CHECK_INTERVAL)).await;
         }
         self.stop.stop();
     }
 }
 
-/// Time between looks at whether this host is leaving, in memory only.
-const LEAVING_LOOK: Duration = Duration::from_millis(100);
+/// Interval of checks whether this host is leaving. They only read memory.
+const LEAVING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,10 +1,10 @@
-//! What operators see of a process: JSON log lines and prometheus metrics.
+//! JSON log lines and Prometheus metrics of a process.
 
 pub mod event;
 pub mod log_line;
 pub mod metrics;
 pub mod sink;
 
-pub use event::{Event, UnderConfig};
+pub use event::{ConfigContext, Event};
 pub use log_line::{emit, flush, init};
-pub use metrics::{Labels, Metrics, Seconds};
+pub use metrics::{Labels, Latency, Metrics};
--- a/crates/observe/src/sink.rs
+++ b/crates/observe/src/sink.rs
@@ -1,45 +1,45 @@
-//! Where log lines go: a bounded buffer that a thread writes to stdout.
+//! A bounded buffer for log lines that a thread writes to stdout.
 //!
-//! A request never waits for a reader of the log. Lines over the rate, or over
-//! the buffer when nobody reads, are dropped and counted by kind; the counts
-//! are logged once there is room again.
+//! Requests never wait for the reader of the log. Lines over the rate limit, or over the buffer
+//! size when nobody reads, are dropped and counted by kind. The counts are logged once there is
+//! room again.
 
 use std::io::Write;
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Most bytes that wait for the writer: about a second of lines at the highest
-/// rate, so that a reader that is slow for a moment loses nothing.
-const MAX_BUFFERED: usize = 512 << 10;
-/// Lines a second that are kept in the long run. An entry at its share of the
-/// load writes about 100; at ten times that it stays whole.
+/// Maximum size of the buffer. It holds about one second of lines at the maximum rate, so that no
+/// lines are lost when the reader is slow for a moment.
+const MAX_BUFFERED_BYTES: usize = 512 << 10;
+/// Sustained rate limit. An entry with its share of the load writes about 100 lines per second, so
+/// ten times the load still fits.
 const LINES_PER_S: f64 = 1000.0;
-/// Lines that may come at once.
-const MAX_BURST: f64 = 2000.0;
-/// Time over which lines are gathered for one write: wake-ups and system calls
-/// cost more than the lines themselves.
-const GATHER: Duration = Duration::from_millis(100);
+/// Maximum number of lines in a burst.
+const MAX_BURST_LINES: f64 = 2000.0;
+/// Time for which lines are collected before a write. Wake-ups and system calls cost more than the
+/// lines themselves.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lines of one kind that were dropped.
+/// Number of dropped lines of one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Dropped {
     /// Name of the event.
     pub kind: &'static str,
-    /// How many.
+    /// Number of lines.
     pub count: u64,
 }
 
 #[derive(Debug)]
 struct State {
-    waiting: Vec<u8>,
-    /// Whether the writer holds bytes that it hasn't written yet.
+    buffer: Vec<u8>,
+    /// Whether the writer thread has bytes that it hasn't written yet.
     is_writing: bool,
     tokens: f64,
-    refilled: Option<Instant>,
+    last_refill: Option<Instant>,
     dropped: Vec<Dropped>,
 }
 
-/// A buffer of whole lines, bounded in size and in rate.
+/// A buffer of complete lines with a limited size and rate.
 #[derive(Debug)]
 pub struct Sink {
     state: Mutex<State>,
@@ -50,10 +50,10 @@
     fn default() -> Self {
         Self {
             state: Mutex::new(State {
-                waiting: Vec::new(),
+                buffer: Vec::new(),
                 is_writing: false,
-                tokens: MAX_BURST,
-                refilled: None,
+                tokens: MAX_BURST_LINES,
+                last_refill: None,
                 dropped: Vec::new(),
             }),
             changed: Condvar::new(),
@@ -66,12 +66,12 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Takes room for a line of a kind at a time; counts it as dropped if there
-    /// is none.
+    /// Checks whether a line may be added, and takes a token for it. Otherwise the line is counted
+    /// as dropped.
     pub fn admit(&self, kind: &'static str, now: Instant) -> bool {
         let mut state = self.lock();
         state.refill(now);
-        let has_room = state.tokens >= 1.0 && state.waiting.len() < MAX_BUFFERED;
+        let has_room = state.tokens >= 1.0 && state.buffer.len() < MAX_BUFFERED_BYTES;
         if has_room {
             state.tokens -= 1.0;
         } else {
@@ -80,43 +80,44 @@
         has_room
     }
 
-    /// The lines dropped since the last call, if there is room to say so.
+    /// Returns the lines dropped since the last call. Returns nothing while the buffer is full,
+    /// because the counts couldn't be logged.
     pub fn take_dropped(&self) -> Vec<Dropped> {
         let mut state = self.lock();
-        if state.dropped.is_empty() || state.waiting.len() >= MAX_BUFFERED {
+        if state.dropped.is_empty() || state.buffer.len() >= MAX_BUFFERED_BYTES {
             return Vec::new();
         }
         std::mem::take(&mut state.dropped)
     }
 
-    /// Bytes that wait for the writer.
-    pub fn waiting(&self) -> usize {
-        self.lock().waiting.len()
+    /// Bytes in the buffer.
+    pub fn buffered_bytes(&self) -> usize {
+        self.lock().buffer.len()
     }
 
-    /// Adds bytes for the writer.
+    /// Adds bytes to the buffer.
     pub fn push(&self, bytes: &[u8]) {
         let mut state = self.lock();
-        let was_empty = state.waiting.is_empty();
-        state.waiting.extend_from_slice(bytes);
+        let was_empty = state.buffer.is_empty();
+        state.buffer.extend_from_slice(bytes);
         if was_empty {
             self.changed.notify_all();
         }
     }
 
-    /// Writes what comes until the process ends. A failed write loses its lines:
-    /// there is nowhere left to say so.
+    /// Writes the buffer to `out` until the process exits. Lines are lost if a write fails, and
+    /// there is nowhere to report that.
     pub fn write_to(&self, out: &mut impl Write) {
         let mut buf = Vec::new();
         loop {
             let mut state = self.lock();
-            while state.waiting.is_empty() {
+            while state.buffer.is_empty() {
                 state = self.changed.wait(state).expect("no panic while locked");
             }
             drop(state);
-            std::thread::sleep(GATHER);
+            std::thread::sleep(WRITE_INTERVAL);
             let mut state = self.lock();
-            std::mem::swap(&mut buf, &mut state.waiting);
+            std::mem::swap(&mut buf, &mut state.buffer);
             state.is_writing = true;
             drop(state);
             let _ = out.write_all(&buf).and_then(|()| out.flush());
@@ -126,12 +127,12 @@
         }
     }
 
-    /// Waits until all lines are written, for at most a time.
-    pub fn flush(&self, bound: Duration) {
-        let until = Instant::now() + bound;
+    /// Waits until all lines are written, for at most `timeout`.
+    pub fn flush(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         let mut state = self.lock();
-        while !state.waiting.is_empty() || state.is_writing {
-            let Some(left) = until.checked_duration_since(Instant::now()) else {
+        while !state.buffer.is_empty() || state.is_writing {
+            let Some(left) = deadline.checked_duration_since(Instant::now()) else {
                 return;
             };
             let waited = self.changed.wait_timeout(state, left);
@@ -142,9 +143,9 @@
 
 impl State {
     fn refill(&mut self, now: Instant) {
-        let last = self.refilled.replace(now).unwrap_or(now);
-        let passed = now.saturating_duration_since(last).as_secs_f64();
-        self.tokens = (self.tokens + passed * LINES_PER_S).min(MAX_BURST);
+        let previous = self.last_refill.replace(now).unwrap_or(now);
+        let elapsed = now.saturating_duration_since(previous).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * LINES_PER_S).min(MAX_BURST_LINES);
     }
 
     fn count_dropped(&mut self, kind: &'static str) {
@@ -155,7 +156,7 @@
     }
 }
 
-/// The writing end of a sink, as simplelog takes it.
+/// Implements [`Write`] for a sink, as simplelog needs it.
 #[derive(Debug, Clone, Copy)]
 pub struct SinkWriter(pub &'static Sink);
 
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::retry::around;
+use store::retry::jittered_interval;
 use store::rows::{Desired, decode, desired_key, encode, lease_key};
 use store::{Documents, InForce, Row, Table, Txn, WriteError};
 use tokio::sync::watch;
@@ -81,7 +81,7 @@
             self.run_once(&mut lease_manager, &mut cache).await;
             self.log_lease_change(before, held_epoch(&lease_manager));
             tokio::select! {
-                () = tokio::time::sleep(around(every)) => {}
+                () = tokio::time::sleep(jittered_interval(every)) => {}
                 () = self.stop.stopped() => {}
             }
         }
--- a/crates/store/src/docs.rs
+++ b/crates/store/src/docs.rs
@@ -1,7 +1,7 @@
 //! Documents in force in this process.
 //!
-//! Versions come from the table service and only rise here. A text comes from
-//! the table service or from a peer; the same version always is the same text.
+//! Versions are assigned by the table service and only increase here. A document's text may come
+//! from the table service or from a peer, since the text of a version never changes.
 
 use conf::Doc;
 use std::sync::{Arc, RwLock};
@@ -12,20 +12,20 @@
 /// A document in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InForce {
-    /// The version that the table service gave it.
+    /// Version assigned by the table service.
     pub version: u64,
-    /// The document.
+    /// The parsed document.
     pub doc: Arc<Doc>,
-    /// Its text, for peers.
+    /// Text of the document, for peers.
     pub text: Arc<str>,
 }
 
-/// What came of offering a document.
+/// Result of offering a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offered {
-    /// It is in force now.
-    Taken,
-    /// It isn't newer than the one in force.
+pub enum OfferResult {
+    /// It has come into force.
+    Accepted,
+    /// It isn't newer than the document in force.
     NotNewer,
     /// It isn't a valid document of a service that this process serves.
     Invalid,
@@ -34,140 +34,145 @@
 /// The documents in force, sorted by service.
 #[derive(Debug)]
 pub struct Documents {
-    slots: RwLock<Vec<Slot>>,
+    entries: RwLock<Vec<ServiceDoc>>,
     changed: watch::Sender<u64>,
 }
 
 #[derive(Debug)]
-struct Slot {
+struct ServiceDoc {
     service: String,
     in_force: Option<InForce>,
-    wanted: u64,
+    known_version: u64,
 }
 
 impl Documents {
-    /// Documents of some services, with nothing in force yet.
+    /// Creates the documents of some services, with none in force.
     pub fn new(services: &[String]) -> Self {
         let mut names = services.to_vec();
         names.sort_unstable();
         names.dedup();
-        let slot = |service| Slot {
+        let entry = |service| ServiceDoc {
             service,
             in_force: None,
-            wanted: 0,
+            known_version: 0,
         };
         Self {
-            slots: RwLock::new(names.into_iter().map(slot).collect()),
+            entries: RwLock::new(names.into_iter().map(entry).collect()),
             changed: watch::Sender::new(0),
         }
     }
 
-    fn with<T>(&self, service: &str, f: impl FnOnce(&Slot) -> T) -> Option<T> {
-        let slots = self.slots.read().expect("no panic while locked");
-        let at = slots
+    fn with_entry<T>(&self, service: &str, f: impl FnOnce(&ServiceDoc) -> T) -> Option<T> {
+        let entries = self.entries.read().expect("no panic while locked");
+        let at = entries
             .binary_search_by(|s| s.service.as_str().cmp(service))
             .ok()?;
-        Some(f(&slots[at]))
+        Some(f(&entries[at]))
     }
 
-    /// The services of these documents.
+    /// Names of the services.
     pub fn services(&self) -> Vec<String> {
-        let slots = self.slots.read().expect("no panic while locked");
-        slots.iter().map(|s| s.service.clone()).collect()
+        let entries = self.entries.read().expect("no panic while locked");
+        entries.iter().map(|s| s.service.clone()).collect()
     }
 
     /// Whether this process serves a service.
-    pub fn knows(&self, service: &str) -> bool {
-        self.with(service, |_| ()).is_some()
+    pub fn serves(&self, service: &str) -> bool {
+        self.with_entry(service, |_| ()).is_some()
     }
 
     /// The document in force for a service.
     pub fn get(&self, service: &str) -> Option<InForce> {
-        self.with(service, |s| s.in_force.clone())?
+        self.with_entry(service, |s| s.in_force.clone())?
     }
 
     /// The version in force, 0 if there is none.
     pub fn version(&self, service: &str) -> u64 {
-        self.with(service, |s| s.in_force.as_ref().map_or(0, |d| d.version))
+        self.with_entry(service, |s| s.in_force.as_ref().map_or(0, |d| d.version))
             .unwrap_or(0)
     }
 
-    /// The highest version that a peer has spoken of, if it is above the one in force.
-    pub fn behind(&self, service: &str) -> Option<u64> {
-        self.with(service, |s| {
-            let have = s.in_force.as_ref().map_or(0, |d| d.version);
-            (s.wanted > have).then_some(s.wanted)
+    /// The highest version known from peers, if it is newer than the one in force.
+    pub fn newer_version(&self, service: &str) -> Option<u64> {
+        self.with_entry(service, |s| {
+            let in_force = s.in_force.as_ref().map_or(0, |d| d.version);
+            (s.known_version > in_force).then_some(s.known_version)
         })?
     }
 
-    /// Notes a version that a peer spoke of.
-    pub fn heard(&self, service: &str, version: u64) {
-        if self.with(service, |s| s.wanted >= version).unwrap_or(true) {
+    /// Records a version that a peer has mentioned.
+    pub fn note_version(&self, service: &str, version: u64) {
+        if self
+            .with_entry(service, |s| s.known_version >= version)
+            .unwrap_or(true)
+        {
             return;
         }
-        let mut slots = self.slots.write().expect("no panic while locked");
-        let Ok(at) = slots.binary_search_by(|s| s.service.as_str().cmp(service)) else {
+        let mut entries = self.entries.write().expect("no panic while locked");
+        let Ok(at) = entries.binary_search_by(|s| s.service.as_str().cmp(service)) else {
             return;
         };
-        slots[at].wanted = slots[at].wanted.max(version);
-        drop(slots);
+        entries[at].known_version = entries[at].known_version.max(version);
+        drop(entries);
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Offers a document; it is taken only if it is valid and newer.
-    pub fn offer(&self, text: &DocText) -> Offered {
+    /// Offers a document, which comes into force if it is valid and newer.
+    pub fn offer(&self, text: &DocText) -> OfferResult {
         if text.version <= self.version(&text.service) {
-            return Offered::NotNewer;
+            return OfferResult::NotNewer;
         }
         let Ok(doc) = Doc::parse(&text.text) else {
-            return Offered::Invalid;
+            return OfferResult::Invalid;
         };
         if doc.service != text.service {
-            return Offered::Invalid;
+            return OfferResult::Invalid;
         }
-        let mut slots = self.slots.write().expect("no panic while locked");
-        let Ok(at) = slots.binary_search_by(|s| s.service.as_str().cmp(&text.service)) else {
-            return Offered::Invalid;
+        let mut entries = self.entries.write().expect("no panic while locked");
+        let Ok(at) = entries.binary_search_by(|s| s.service.as_str().cmp(&text.service)) else {
+            return OfferResult::Invalid;
         };
-        let slot = &mut slots[at];
-        // Looked at again under the lock: two offers may race.
-        if slot
+        let entry = &mut entries[at];
+        // Checked again under the write lock, because of concurrent offers.
+        if entry
             .in_force
             .as_ref()
             .is_some_and(|d| d.version >= text.version)
         {
-            return Offered::NotNewer;
+            return OfferResult::NotNewer;
         }
         let text_arc = Arc::from(text.text.as_str());
-        slot.in_force = Some(InForce {
+        entry.in_force = Some(InForce {
             version: text.version,
             doc: Arc::new(doc),
             text: text_arc,
         });
-        slot.wanted = slot.wanted.max(text.version);
-        drop(slots);
+        entry.known_version = entry.known_version.max(text.version);
+        drop(entries);
         self.changed.send_modify(|n| *n += 1);
-        Offered::Taken
+        OfferResult::Accepted
     }
 
-    /// Waits until at least a version is in force, for at most `within`.
-    pub async fn reach(&self, service: &str, version: u64, within: Duration) -> bool {
-        let mut changed = self.watch();
-        let reached = async {
+    /// Waits until at least `version` is in force. Returns `false` if that takes longer than
+    /// `timeout`.
+    pub async fn wait_for_version(&self, service: &str, version: u64, timeout: Duration) -> bool {
+        let mut changed = self.subscribe();
+        let wait = async {
             while self.version(service) < version {
-                // The sender lives in `self`.
+                // Can't fail, since `self` owns the sender.
                 let _ = changed.changed().await;
             }
         };
-        tokio::time::timeout(within, reached).await.is_ok()
+        tokio::time::timeout(timeout, wait).await.is_ok()
     }
 
-    /// A receiver that sees each change of what is in force or heard of.
-    pub fn watch(&self) -> watch::Receiver<u64> {
+    /// Returns a receiver that is notified when a document comes into force or a peer has mentioned
+    /// a newer version.
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// The document in force, as a message to a peer.
+    /// Returns the document in force as a message for peers.
     pub fn text(&self, service: &str) -> Option<DocText> {
         let d = self.get(service)?;
         Some(DocText {
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,7 +1,7 @@
-//! The platform's dialect: JSON over HTTP/1.
+//! HTTP client of the platform: JSON over HTTP/1.
 //!
-//! This is the one module to replace for another platform. The stand-ins speak
-//! the same dialect and share the message types below.
+//! Only this module would have to be replaced for another platform. The fake platform services use
+//! the same API and the message types below.
 
 use crate::table::{Conflict, Error, HostList, Hosts, Objects, Row, Table, Txn, WriteError};
 use conf::Platform;
@@ -11,44 +11,44 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Path of a read of rows.
+/// Path for reading rows.
 pub const PATH_READ: &str = "/read";
-/// Path of a scan.
+/// Path for scanning rows.
 pub const PATH_SCAN: &str = "/scan";
-/// Path of a transaction.
+/// Path for committing a transaction.
 pub const PATH_COMMIT: &str = "/commit";
-/// Beginning of an object's path.
+/// Prefix of an object's path.
 pub const PATH_OBJECT: &str = "/objects/";
-/// Path of a list of objects; the prefix is the query.
+/// Path for listing objects. The query is the name prefix.
 pub const PATH_LIST: &str = "/list";
-/// Path of the host list; the version that the reader has is the query.
+/// Path of the host list. The query is the version that the reader already has.
 pub const PATH_HOSTS: &str = "/hosts";
 
-/// Largest answer that is read.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Body of a scan.
+/// Body of a scan request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ScanBody {
-    /// How the keys begin.
+    /// Prefix of the keys.
     pub prefix: String,
-    /// Only keys after this one.
+    /// Only keys after this one are returned.
     pub after: String,
-    /// Most rows.
+    /// Maximum number of rows.
     pub limit: u32,
 }
 
-/// Answer to a transaction.
+/// Response to a commit request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommitBody {
-    /// Done, with the version of the rows written.
+    /// Committed, with the version of the written rows.
     Done(u64),
-    /// Refused, with the checks that didn't hold.
+    /// Refused, with the checks that failed.
     Refused(Vec<Conflict>),
 }
 
-/// The platform over HTTP.
+/// Client of the platform over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     table: Pool,
@@ -58,12 +58,12 @@
 }
 
 impl HttpPlatform {
-    /// Clients for the addresses in the settings.
+    /// Creates clients for the addresses in the settings.
     pub fn new(p: &Platform) -> Self {
         Self::metered(p, &Meter::default())
     }
 
-    /// The same, with the bytes of all connections counted.
+    /// Like [`HttpPlatform::new`], with the bytes of all connections counted by `meter`.
     pub fn metered(p: &Platform, meter: &Meter) -> Self {
         let pool = |addr| Pool::new(addr, p.timeout).metered(meter);
         Self {
@@ -82,10 +82,10 @@
         body: Vec<u8>,
     ) -> Result<(StatusCode, bytes::Bytes), CallError> {
         let req = request(pool, method, path, body);
-        pool.call(req, MAX_ANSWER, self.timeout).await
+        pool.call(req, MAX_RESPONSE_BYTES, self.timeout).await
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn call_json<T: DeserializeOwned>(
         &self,
         pool: &Pool,
         method: Method,
@@ -99,7 +99,7 @@
         if !status.is_success() {
             return Err(Error::Unavailable(format!("status {status}")));
         }
-        serde_json::from_slice(&body).map_err(|e| Error::Nonsense(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| Error::InvalidResponse(e.to_string()))
     }
 }
 
@@ -122,7 +122,7 @@
 
 impl Table for HttpPlatform {
     async fn read(&self, keys: Vec<String>) -> Result<Vec<Row>, Error> {
-        self.ask(&self.table, Method::POST, PATH_READ, json(&keys))
+        self.call_json(&self.table, Method::POST, PATH_READ, json(&keys))
             .await
     }
 
@@ -132,20 +132,21 @@
             after,
             limit,
         });
-        self.ask(&self.table, Method::POST, PATH_SCAN, body).await
+        self.call_json(&self.table, Method::POST, PATH_SCAN, body)
+            .await
     }
 
     async fn commit(&self, txn: &Txn) -> Result<u64, WriteError> {
-        let answer = self
+        let response = self
             .call(&self.table, Method::POST, PATH_COMMIT, json(txn))
             .await;
-        let (status, body) = match answer {
-            Ok(answer) => answer,
+        let (status, body) = match response {
+            Ok(response) => response,
             Err(CallError::NotSent(why)) => return Err(WriteError::Unavailable(why)),
             Err(CallError::MaybeSent(why)) => return Err(WriteError::Unknown(why)),
         };
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            // The service says so itself, before it began.
+            // The service sends this status before it processes the request.
             return Err(WriteError::Unavailable("the table service is down".into()));
         }
         match serde_json::from_slice(&body) {
@@ -185,14 +186,15 @@
 
     async fn list(&self, prefix: &str) -> Result<Vec<String>, Error> {
         let path = format!("{PATH_LIST}?{prefix}");
-        self.ask(&self.objects, Method::GET, &path, Vec::new())
+        self.call_json(&self.objects, Method::GET, &path, Vec::new())
             .await
     }
 }
 
 impl Hosts for HttpPlatform {
-    async fn hosts(&self, have: u64) -> Result<HostList, Error> {
-        let path = format!("{PATH_HOSTS}?{have}");
-        self.ask(&self.hosts, Method::GET, &path, Vec::new()).await
+    async fn hosts(&self, known_version: u64) -> Result<HostList, Error> {
+        let path = format!("{PATH_HOSTS}?{known_version}");
+        self.call_json(&self.hosts, Method::GET, &path, Vec::new())
+            .await
     }
 }
--- a/crates/store/src/retry.rs
+++ b/crates/store/src/retry.rs
@@ -1,35 +1,38 @@
-//! Waiting between tries.
+//! Delays between retries and between polls.
 
 use std::time::Duration;
 
-/// Growing waits with full jitter: each is drawn between zero and a bound that
-/// doubles, so that processes that failed together don't return together.
+/// Exponential backoff with full jitter. Each delay is random between zero and a bound that
+/// doubles, so that processes that failed at the same time don't retry at the same time.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     bound: Duration,
-    most: Duration,
+    max: Duration,
 }
 
 impl Backoff {
-    /// Waits that grow from `first` to `most`.
-    pub fn new(first: Duration, most: Duration) -> Self {
-        Self { bound: first, most }
+    /// Creates a backoff whose bound grows from `initial` to `max`.
+    pub fn new(initial: Duration, max: Duration) -> Self {
+        Self {
+            bound: initial,
+            max,
+        }
     }
 
-    /// The next wait.
-    pub fn wait(&mut self) -> Duration {
-        let wait = jitter(self.bound);
-        self.bound = (self.bound * 2).min(self.most);
-        wait
+    /// Returns the next delay.
+    pub fn next_delay(&mut self) -> Duration {
+        let delay = jitter(self.bound);
+        self.bound = (self.bound * 2).min(self.max);
+        delay
     }
 }
 
-/// A duration drawn between zero and `bound`.
+/// Returns a random duration between zero and `bound`.
 pub fn jitter(bound: Duration) -> Duration {
     bound.mul_f64(fastrand::f64())
 }
 
-/// A duration drawn within a fifth of `mean`, for polls.
-pub fn around(mean: Duration) -> Duration {
+/// Returns a random duration within 20% of `mean`, for polls.
+pub fn jittered_interval(mean: Duration) -> Duration {
     mean.mul_f64(0.8 + 0.4 * fastrand::f64())
 }
