--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -188,7 +188,7 @@
     );
     let mut res = Response::new(full(text));
     *res.status_mut() = status;
-    *res.headers_mut() = header::own_answer(id, retry_after.filter(|_| may_return));
+    *res.headers_mut() = header::own_response_headers(id, retry_after.filter(|_| may_return));
     if may_return {
         // Refused clients retry on a new connection. In an overload, the old connections used 20
         // of 28 MB of memory and 680 of 890 file descriptors when they were kept open.
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -19,7 +19,7 @@
 use net::h1::PooledConnection;
 use net::{Body, CallError, full};
 use observe::{Event, emit};
-use platform::header::{self, Step, ToWorker};
+use platform::header::{self, Phases, UpstreamRequest};
 use split::attempt_split;
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -124,7 +124,7 @@
     let tried = if plan.task == Task::Prefill {
         attempt_split(call, account, plan, need).await
     } else {
-        send_to(call, account, plan, Step::Run).await
+        send_to(call, account, plan, Phases::Both).await
     };
     let (outcome, why) = match &tried {
         AttemptResult::Started(_) => return tried,
@@ -149,7 +149,7 @@
 
 /// Records that an engine prefills the request's prompt.
 fn record_parts(call: &Call, plan: &Plan) {
-    let parts = &call.incoming.parts;
+    let parts = &call.incoming.prompt_parts;
     call.gateway
         .fleet()
         .record_parts(plan.key, parts, Instant::now());
@@ -160,7 +160,7 @@
     call: &Call,
     account: &mut Account,
     plan: &Plan,
-    step: Step<'_>,
+    step: Phases<'_>,
 ) -> AttemptResult {
     let gateway = &call.gateway;
     let load = gateway.add_load(plan.key, plan.inputs.uncached, plan.is_long);
@@ -193,8 +193,8 @@
     account.attempts += 1;
     let (res, conn) = answer.into_parts();
     let (head, body) = res.into_parts();
-    let from_worker = header::from_worker(&head.headers, &call.incoming.id);
-    if !from_worker.is_ours {
+    let from_worker = header::parse_upstream_response(&head.headers, &call.incoming.id);
+    if !from_worker.id_matches {
         record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
         return AttemptResult::Unknown(format!("{} without this request's id", head.status));
     }
@@ -202,7 +202,7 @@
     if head.status != StatusCode::MISDIRECTED_REQUEST {
         record_alive(gateway, plan, since);
     }
-    if from_worker.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
+    if from_worker.not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
         // NB: the body of a rejection is short; the connection is kept only if the body has
         // already arrived.
         if body.is_end_stream() {
@@ -310,22 +310,22 @@
 }
 
 /// Builds the request for an upstream; `None` if that fails.
-fn build_request(call: &Call, plan: &Plan, step: Step<'_>) -> Option<Request<Body>> {
+fn build_request(call: &Call, plan: &Plan, step: Phases<'_>) -> Option<Request<Body>> {
     let is_engine = call.is_engine;
     let left = call.incoming.deadline.map(|_| call.time_left());
-    let to_worker = ToWorker {
+    let to_worker = UpstreamRequest {
         instance: &plan.instance,
         deadline: left.or_else(|| Some(call.time_left())),
-        rank: is_engine.then(|| engine_priority(call, plan)),
-        last_event: call.last_event,
+        priority: is_engine.then(|| engine_priority(call, plan)),
+        last_event_id: call.last_event,
         tenancy: call.tenancy(),
         fetch_from: plan.fetch_from,
-        step,
+        phases: step,
     };
     let mut req = Request::new(full(call.body.clone()));
     *req.method_mut() = call.method.clone();
     *req.uri_mut() = call.path.clone();
-    *req.headers_mut() = header::to_worker(&call.headers, &to_worker);
+    *req.headers_mut() = header::upstream_request_headers(&call.headers, &to_worker);
     Some(req)
 }
 
--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -12,8 +12,8 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::{Method, Request, StatusCode};
 use net::{CallError, Pool};
-use platform::header::{self, Step};
-use platform::worker::Prefilled;
+use platform::engine::Prefilled;
+use platform::header::{self, Phases};
 use std::time::{Duration, Instant};
 
 /// Maximum size of an engine's answer to a prefill, in bytes.
@@ -89,7 +89,7 @@
         account.upstream = Some(generator.instance.clone());
         account.last_sent_to = Some(generator.sent_to());
         let since = Instant::now();
-        last = send_to(call, account, &generator, Step::Take(&source)).await;
+        last = send_to(call, account, &generator, Phases::Decode(&source)).await;
         let AttemptResult::NotRun(why) = last else {
             break;
         };
@@ -105,7 +105,7 @@
     const TIMEOUT: Duration = Duration::from_millis(500);
     let req = Request::builder()
         .method(Method::DELETE)
-        .uri(prefilled.free_path())
+        .uri(prefilled.release_path())
         .header(hyper::header::HOST, pool.addr().to_string())
         .body(net::empty());
     let Ok(req) = req else {
@@ -120,7 +120,7 @@
     let mut load = gateway.add_load(plan.key, plan.inputs.uncached, false);
     record_parts(call, plan);
     let since = Instant::now();
-    let req = build_request(call, plan, Step::Prefill)?;
+    let req = build_request(call, plan, Phases::Prefill)?;
     let answer = match plan.pool.send_once(req).await {
         Ok(answer) => answer,
         Err(e) => {
@@ -135,7 +135,7 @@
     let (res, conn) = answer.into_parts();
     let (head, body) = res.into_parts();
     if head.status != StatusCode::OK
-        || !header::from_worker(&head.headers, &call.incoming.id).is_ours
+        || !header::parse_upstream_response(&head.headers, &call.incoming.id).id_matches
     {
         record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
         log_bad_answer(call, plan, format!("prefill answered with {}", head.status));
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -9,7 +9,7 @@
 use crate::state::Gateway;
 use observe::{Event, emit};
 use platform::store::MAX_ENTRIES;
-use platform::{CrashChange, CrashKey, CrashMark, CrashRow, Feed, StoreError, TrialWrite};
+use platform::{CrashChange, CrashKey, CrashRow, CrashRowKind, Cursor, StoreError, TrialWrite};
 use resilience::Fingerprint;
 use resilience::crashes::{
     BLOCK_THRESHOLD, CrashRecord, Observation, RECORD_THRESHOLD, RETENTION, STORED_TRIALS, Source,
@@ -54,11 +54,11 @@
         .await;
     let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/crashes");
-    let mut from = Feed::Start;
+    let mut from = Cursor::Start;
     // Pages of a full read of the table.
     let mut pages = Vec::new();
     loop {
-        let is_full_read = !matches!(from, Feed::Since(_));
+        let is_full_read = !matches!(from, Cursor::Since(_));
         let is_initial = is_full_read && !gateway.startup_load.has_loaded();
         wait_until_feed_reader(&gateway, is_initial).await;
         let max_hold_time = match has_no_live_peer(&gateway) {
@@ -79,7 +79,7 @@
                 gateway.crashes.write_pending.notify_one();
                 pages.extend(change.items);
                 from = change.next;
-                if matches!(from, Feed::Rest { .. }) {
+                if matches!(from, Cursor::NextPage { .. }) {
                     continue;
                 }
                 let changes = std::mem::take(&mut pages);
@@ -91,7 +91,7 @@
                 }
             }
             Err(StoreError::HistoryGone) => {
-                from = Feed::Start;
+                from = Cursor::Start;
                 pages.clear();
             }
             Err(e) => {
@@ -125,10 +125,10 @@
 }
 
 fn apply_removed(gateway: &Gateway, key: CrashKey) {
-    let work = Fingerprint(key.work);
-    match key.mark {
-        CrashMark::End(upstream) => forget_end(gateway, work, upstream),
-        CrashMark::Trial(number) => {
+    let work = Fingerprint(key.fingerprint);
+    match key.kind {
+        CrashRowKind::End(upstream) => forget_end(gateway, work, upstream),
+        CrashRowKind::Trial(number) => {
             let mut crashes = gateway.crashes.lock();
             crashes.trial_returned(work, number as usize);
         }
@@ -147,13 +147,13 @@
     if is_expired(row, clock) {
         return;
     }
-    let work = Fingerprint(row.key.work);
+    let work = Fingerprint(row.key.fingerprint);
     // On a host that has started since, the time may be before the start of its clock. Only the
     // fact that the row hasn't expired matters then.
     let now = Instant::now();
     let at = clock.to_instant(row.at_ms).unwrap_or(now);
-    match row.key.mark {
-        CrashMark::End(upstream) => {
+    match row.key.kind {
+        CrashRowKind::End(upstream) => {
             let word = Observation::Crash {
                 fingerprint: work,
                 upstream,
@@ -162,7 +162,7 @@
             };
             apply(gateway, word, Source::Store, false);
         }
-        CrashMark::Trial(number) => {
+        CrashRowKind::Trial(number) => {
             let number = number as usize;
             gateway.crashes.lock().trial_taken(work, number, at);
         }
@@ -299,8 +299,8 @@
 
 fn end_key(record: &CrashRecord) -> CrashKey {
     CrashKey {
-        work: record.fingerprint.0,
-        mark: CrashMark::End(record.upstream),
+        fingerprint: record.fingerprint.0,
+        kind: CrashRowKind::End(record.upstream),
     }
 }
 
@@ -312,8 +312,8 @@
 
 fn trial_key(work: Fingerprint, number: usize) -> CrashKey {
     CrashKey {
-        work: work.0,
-        mark: CrashMark::Trial(number as u32),
+        fingerprint: work.0,
+        kind: CrashRowKind::Trial(number as u32),
     }
 }
 
--- a/crates/gateway/src/duty/scaling.rs
+++ b/crates/gateway/src/duty/scaling.rs
@@ -10,7 +10,7 @@
 use crate::follow::StoreClient;
 use crate::state::Gateway;
 use observe::{Event, emit};
-use platform::cloud::{Cloud, ScaleOrder, UnderLease};
+use platform::cloud::{Cloud, LeaseRef, ScaleOrder};
 use platform::{Duty, Scaling};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -109,7 +109,11 @@
     let mut zones: Vec<ScaledZone> = Vec::new();
     loop {
         tokio::time::sleep(SAMPLE_EVERY).await;
-        let has_duty = gateway.host().cloud.as_ref().is_some_and(|c| c.scales);
+        let has_duty = gateway
+            .host()
+            .cloud
+            .as_ref()
+            .is_some_and(|c| c.is_scaling_enabled);
         if !has_duty {
             continue;
         }
@@ -207,7 +211,7 @@
     let held = take_lease(gateway, client, Duty::Scaling).await?;
     let host = gateway.host();
     let addr = host.cloud.as_ref().map(|c| c.addr).ok_or(ORDER_COOLDOWN)?;
-    let under = UnderLease {
+    let under = LeaseRef {
         host: &host.name,
         token: held.token,
     };
--- a/crates/gateway/src/duty/usage/reports.rs
+++ b/crates/gateway/src/duty/usage/reports.rs
@@ -8,7 +8,7 @@
 use crate::follow::StoreClient;
 use crate::state::Gateway;
 use observe::{Event, emit};
-use platform::cloud::{Cloud, CloudAnswer, UnderLease};
+use platform::cloud::{Cloud, CloudAnswer, LeaseRef};
 use platform::usage::UsageReport;
 use platform::{Duty, Lease, LeaseWrite};
 use std::sync::Arc;
@@ -288,7 +288,7 @@
             return RETRY_BACKOFF.1;
         };
         let cloud = Cloud::new(cloud_settings.addr, &self.gateway.store_bytes);
-        let under = UnderLease {
+        let under = LeaseRef {
             host: &host.name,
             token,
         };
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -11,7 +11,7 @@
 use crate::routes::RouteTable;
 use crate::state::Gateway;
 use observe::{Event, emit};
-use platform::{Config, Feed, Store, StoreError};
+use platform::{Config, Cursor, Store, StoreError};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -116,7 +116,7 @@
 
 impl StoreClient {
     pub(crate) fn new(gateway: &Arc<Gateway>) -> Self {
-        let addr = gateway.host().store;
+        let addr = gateway.host().store_addr;
         Self {
             store: Store::new(addr, &gateway.store_bytes, &gateway.store_calls),
             gateway: gateway.clone(),
@@ -125,7 +125,7 @@
     }
 
     pub(crate) fn store(&mut self) -> &Store {
-        if self.gateway.host().store != self.addr {
+        if self.gateway.host().store_addr != self.addr {
             *self = Self::new(&self.gateway);
         }
         &self.store
@@ -136,7 +136,7 @@
 pub async fn follow_config(gateway: Arc<Gateway>) {
     let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/configuration");
-    let mut from = Feed::Start;
+    let mut from = Cursor::Start;
     gateway
         .startup_load
         .finished(gateway.host().is_first_start)
@@ -154,7 +154,7 @@
                 }
                 from = change.next;
             }
-            Err(StoreError::HistoryGone) => from = Feed::Start,
+            Err(StoreError::HistoryGone) => from = Cursor::Start,
             Err(e) => {
                 dependency.record_failure(&e);
                 dependency.pause(&gateway).await;
@@ -177,10 +177,10 @@
 /// Time for which the store may hold a read that continues from `from`. Reads of a whole table
 /// aren't held. When they were treated as held, a host that started during an outage of the store
 /// waited 30.8 s for an answer that never came, and had no state for that long after the outage.
-pub(crate) fn hold_time(from: &Feed, longest: Duration) -> Duration {
+pub(crate) fn hold_time(from: &Cursor, longest: Duration) -> Duration {
     match from {
-        Feed::Since(_) => longest,
-        Feed::Start | Feed::Rest { .. } => Duration::ZERO,
+        Cursor::Since(_) => longest,
+        Cursor::Start | Cursor::NextPage { .. } => Duration::ZERO,
     }
 }
 
--- a/crates/gateway/src/follow/registry.rs
+++ b/crates/gateway/src/follow/registry.rs
@@ -9,7 +9,7 @@
 use crate::state::Gateway;
 use net::Meter;
 use observe::{Event, emit};
-use platform::{Feed, Instance, Registration, Start, StoreError, Unreadable, UnreadableRow};
+use platform::{Cursor, Instance, Registration, RowError, Start, StoreError, UnreadableRow};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -39,7 +39,7 @@
 pub async fn follow_registry(gateway: Arc<Gateway>) {
     let mut client = StoreClient::new(&gateway);
     let mut dependency = Dependency::new("store/registry");
-    let mut from = Feed::Start;
+    let mut from = Cursor::Start;
     // Pages of a whole-table read in progress, and the time at which its first page was
     // requested.
     let mut pages = Vec::new();
@@ -51,7 +51,7 @@
         .finished(gateway.host().is_first_start)
         .await;
     if gateway.registry().version > 0 {
-        from = Feed::Since(gateway.registry().version);
+        from = Cursor::Since(gateway.registry().version);
         wait_until_stale(&gateway).await;
     }
     loop {
@@ -64,14 +64,14 @@
                 }
                 log_malformed("registry", change.malformed);
                 pages.extend(change.items);
-                let is_whole = !matches!(from, Feed::Since(_));
+                let is_whole = !matches!(from, Cursor::Since(_));
                 from = change.next;
-                if matches!(from, Feed::Rest { .. }) {
+                if matches!(from, Cursor::NextPage { .. }) {
                     let is_initial = gateway.registry().version == 0 && !has_waited;
                     if is_initial && wait_for_peers(&gateway).await {
                         pages.clear();
                         first_page = None;
-                        from = Feed::Since(gateway.registry().version);
+                        from = Cursor::Since(gateway.registry().version);
                     }
                     has_waited = true;
                     continue;
@@ -86,7 +86,7 @@
                 }
             }
             Err(StoreError::HistoryGone) => {
-                from = Feed::Start;
+                from = Cursor::Start;
                 pages.clear();
                 first_page = None;
                 continue;
@@ -96,14 +96,14 @@
                 dependency.pause(&gateway).await;
                 // Only the failed page is read again. Otherwise a table of thousands of rows
                 // would never be read completely while the store rejects calls.
-                if !matches!(from, Feed::Since(_)) {
+                if !matches!(from, Cursor::Since(_)) {
                     continue;
                 }
             }
         }
         let version = gateway.registry().version;
         if version > 0 {
-            from = Feed::Since(version);
+            from = Cursor::Since(version);
             wait_until_stale(&gateway).await;
         }
     }
@@ -228,7 +228,7 @@
     };
     for change in changes {
         match change {
-            Registration::Present(instance) => {
+            Registration::Registered(instance) => {
                 gateway.missing().remove(&instance.id);
                 gone.retain(|id| *id != instance.id);
                 merge_instance(gateway, instance, version, &gateway.upstream_bytes);
@@ -249,7 +249,7 @@
 /// Known upstreams that are absent from a whole read of the registry.
 fn absent_ids(gateway: &Gateway, read: &[Registration]) -> Vec<String> {
     let present = read.iter().filter_map(|r| match r {
-        Registration::Present(instance) => Some(instance.id.as_str()),
+        Registration::Registered(instance) => Some(instance.id.as_str()),
         Registration::Removed { .. } | Registration::Unreadable(_) => None,
     });
     let mut present: Vec<&str> = present.collect();
@@ -289,8 +289,16 @@
         }
         MergeOutcome::MissingStart => {
             drop(fleet);
-            let why = Unreadable::Start;
-            remove_unreadable(gateway, &UnreadableRow { id, row, why }, registry);
+            let why = RowError::Start;
+            remove_unreadable(
+                gateway,
+                &UnreadableRow {
+                    id,
+                    row_version: row,
+                    error: why,
+                },
+                registry,
+            );
             return;
         }
     }
@@ -340,7 +348,7 @@
     let is_newer = {
         let fleet = gateway.fleet();
         let known = fleet.find(&row.id).and_then(|key| fleet.get(key));
-        known.is_some_and(|u| u.instance.row < row.row)
+        known.is_some_and(|u| u.instance.row < row.row_version)
     };
     if is_newer {
         remove(gateway, &row.id, "unreadable entry", registry);
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -46,7 +46,12 @@
             metrics.set_control_bytes("peers", gateway.peer_bytes.bytes());
             metrics.set_control_bytes("upstreams", gateway.upstream_bytes.bytes());
             for (labels, count) in gateway.store_calls.counts() {
-                metrics.set_store_calls(labels.table, labels.kind.name(), labels.end.name(), count);
+                metrics.set_store_calls(
+                    labels.table,
+                    labels.kind.name(),
+                    labels.outcome.name(),
+                    count,
+                );
             }
             (StatusCode::OK, metrics.encode())
         }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -27,7 +27,7 @@
 pub fn relay_answer(call: Call, mut account: Account, started: StartedAnswer) -> Response<Body> {
     account.first_byte_after = Some(account.received_at.elapsed());
     account.status = started.status.as_u16();
-    let headers = header::to_client(&started.headers);
+    let headers = header::client_response_headers(&started.headers);
     let is_framed = is_framed(&started.headers);
     let body = match started.rest {
         None => {
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::state::Gateway;
 use observe::{Event, emit};
-use platform::Host;
+use platform::HostSettings;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     } else {
         "file changed"
     };
-    let error = match Host::read(path.to_owned()) {
+    let error = match HostSettings::read(path.to_owned()) {
         Ok(host) if host == *gateway.host() => {
             if !is_signalled {
                 return;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -23,7 +23,7 @@
 use hyper::{Method, Request, Response, Uri};
 use net::Body;
 use net::server::{BodyError, read_body};
-use platform::{Incoming, header};
+use platform::{RequestHeaders, header};
 use resilience::Fingerprint;
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
@@ -46,7 +46,7 @@
     /// Time at which the request arrived.
     pub since: Instant,
     /// Parsed headers.
-    pub incoming: Incoming,
+    pub incoming: RequestHeaders,
     /// HTTP method.
     pub method: Method,
     /// Path and query, unchanged.
@@ -72,9 +72,9 @@
 pub async fn serve(gateway: Arc<Gateway>, req: Request<IncomingBody>) -> Response<Body> {
     let since = Instant::now();
     let (mut head, body) = req.into_parts();
-    header::hide_key(&mut head.headers);
+    header::mark_key_sensitive(&mut head.headers);
     let authority = head.uri.authority().map(|a| a.as_str());
-    let incoming = match Incoming::read(&head.headers, authority) {
+    let incoming = match RequestHeaders::parse(&head.headers, authority) {
         Ok(incoming) => incoming,
         Err(e) => return refusal::refuse_malformed(&gateway, since, e),
     };
@@ -94,7 +94,7 @@
 /// Routes a request and reads its body.
 async fn receive(
     gateway: Arc<Gateway>,
-    incoming: Incoming,
+    incoming: RequestHeaders,
     head: Parts,
     body: IncomingBody,
     account: &mut Account,
@@ -118,7 +118,7 @@
     };
     if is_engine {
         account.max_output_tokens = Some(incoming.max_output_tokens);
-        account.expected_tokens = Some(incoming.expected_tokens());
+        account.expected_tokens = Some(incoming.expected_output_tokens());
     }
     gateway.earn_retry(service);
     let body = match body.is_end_stream() {
@@ -135,7 +135,7 @@
     };
     Ok(Call {
         since: account.received_at,
-        last_event: incoming.last_event,
+        last_event: incoming.last_event_id,
         method: head.method,
         path: path_and_query(&head.uri),
         headers: head.headers,
@@ -194,7 +194,7 @@
         let is_retry = account.attempts > 0;
         Requirements {
             service: self.service,
-            parts: &self.incoming.parts,
+            parts: &self.incoming.prompt_parts,
             prompt_tokens: self.incoming.prompt_tokens,
             max_output_tokens: self.incoming.max_output_tokens,
             latency_target: route.target_latency,
--- a/crates/gateway/src/serve/caller.rs
+++ b/crates/gateway/src/serve/caller.rs
@@ -7,7 +7,7 @@
 use crate::routes::{Caller, Denied, ResolvedRoute, RouteTable};
 use crate::state::Gateway;
 use observe::{Event, emit};
-use platform::Incoming;
+use platform::RequestHeaders;
 use platform::header::Tenancy;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     gateway: &Gateway,
     table: &RouteTable,
     target: &ResolvedRoute,
-    incoming: &Incoming,
+    incoming: &RequestHeaders,
     account: &mut Account,
 ) -> Result<Caller, Refusal> {
     match table.admit(target, incoming.key) {
@@ -43,7 +43,7 @@
     gateway: &Arc<Gateway>,
     table: &RouteTable,
     caller: Caller,
-    incoming: &Incoming,
+    incoming: &RequestHeaders,
     account: &Account,
 ) -> Result<Option<Grant>, Refusal> {
     let Some(tenant) = table.tenant(caller) else {
@@ -76,7 +76,7 @@
 }
 
 /// Records the former tenant of a removed key and the version that removed it, if known.
-fn record_removed_key(table: &RouteTable, incoming: &Incoming, account: &mut Account) {
+fn record_removed_key(table: &RouteTable, incoming: &RequestHeaders, account: &mut Account) {
     let removed = table
         .tenants()
         .zip(incoming.key)
@@ -91,8 +91,8 @@
     /// Tenant of the request, as sent to the upstream.
     pub fn tenancy(&self) -> Tenancy<'_> {
         match self.caller {
-            Caller::Unrestricted => Tenancy::Unused,
-            Caller::Anonymous | Caller::Tenant(_) => Tenancy::Of(self.tenant_name()),
+            Caller::Unrestricted => Tenancy::Disabled,
+            Caller::Anonymous | Caller::Tenant(_) => Tenancy::Tenant(self.tenant_name()),
         }
     }
 
--- a/crates/gateway/src/serve/time.rs
+++ b/crates/gateway/src/serve/time.rs
@@ -120,7 +120,7 @@
     fn length(&self) -> Length {
         match self.is_engine {
             true => Length::Tokens {
-                expected: self.incoming.expected_tokens(),
+                expected: self.incoming.expected_output_tokens(),
                 max: self.incoming.max_output_tokens,
             },
             false => Length::Plain {
@@ -133,7 +133,7 @@
     /// estimates. Resumed streams and failures are skipped, as they are shorter. The time spent
     /// waiting for the client is excluded.
     pub fn record_duration(&self, account: &Account, waited_for_client: Duration) {
-        let is_rest = self.incoming.last_event.is_some();
+        let is_rest = self.incoming.last_event_id.is_some();
         if is_rest || !(200..300).contains(&account.status) {
             return;
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -18,7 +18,7 @@
 use crate::stop::{ShutdownSchedule, StallDetector};
 use net::{HeadLimits, Meter, Stop};
 use observe::Metrics;
-use platform::{CallCounts, Host};
+use platform::{CallCounts, HostSettings};
 use resilience::RetryBudget;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -36,7 +36,7 @@
 /// State of a gateway process.
 #[derive(Debug)]
 pub struct Gateway {
-    host: Mutex<Arc<Host>>,
+    host: Mutex<Arc<HostSettings>>,
     routes: Mutex<Option<Arc<RouteTable>>>,
     /// Time at which the current routes were applied.
     config_applied_at: Mutex<Option<Instant>>,
@@ -97,7 +97,7 @@
 
 impl Gateway {
     /// Creates a gateway that has no configuration yet.
-    pub fn new(host: Host, stop: Stop) -> Arc<Self> {
+    pub fn new(host: HostSettings, stop: Stop) -> Arc<Self> {
         Arc::new(Self {
             quotas: Quotas::new(host.ip),
             host: Mutex::new(Arc::new(host)),
@@ -136,12 +136,12 @@
     }
 
     /// The current settings.
-    pub fn host(&self) -> Arc<Host> {
+    pub fn host(&self) -> Arc<HostSettings> {
         lock(&self.host).clone()
     }
 
     /// Replaces the settings.
-    pub fn set_host(&self, host: Host) {
+    pub fn set_host(&self, host: HostSettings) {
         *lock(&self.host) = Arc::new(host);
     }
 
