--- a/crates/agent/tests/claims.rs
+++ b/crates/agent/tests/claims.rs
@@ -1,9 +1,9 @@
 //! Tests that only one call runs per idempotency key, whatever faults the table service has.
 
 use agent::claims::{ClaimResult, Claims};
-use fakes::serve::Standin;
-use fakes::table::TableStandin;
-use fakes::{Faults, Running, start};
+use fakes::serve::FakeServer;
+use fakes::table::FakeTable;
+use fakes::{Faults, RunningServer, start};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 const KEY: &str = "claim/s/t/key/k";
 
 struct Setup {
-    table: Arc<TableStandin>,
+    table: Arc<FakeTable>,
     platform: HttpPlatform,
-    _running: Running,
+    _running: RunningServer,
 }
 
 async fn setup() -> Setup {
-    let table = Arc::<TableStandin>::default();
+    let table = Arc::<FakeTable>::default();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let running = start(any, table.clone()).await.unwrap();
     let (t, o, h) = (running.addr, running.addr, running.addr);
@@ -129,7 +129,7 @@
 async fn a_write_whose_answer_is_lost_is_resolved_by_reading_back() {
     let setup = setup().await;
     let a = Claims::start(setup.platform.clone(), "a".into());
-    setup.table.gate().set(Faults {
+    setup.table.injector().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
@@ -141,7 +141,7 @@
 async fn while_the_table_service_is_down_no_claim_is_made_and_the_key_stays_free() {
     let setup = setup().await;
     let a = Claims::start(setup.platform.clone(), "a".into());
-    setup.table.gate().set(Faults {
+    setup.table.injector().set(Faults {
         down: true,
         ..Faults::default()
     });
@@ -149,7 +149,7 @@
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
         ClaimResult::Unavailable
     );
-    setup.table.gate().set(Faults::default());
+    setup.table.injector().set(Faults::default());
     assert!(matches!(
         a.claim(KEY.into(), claim(2, 1, "a"), true).await,
         ClaimResult::Won(_)
@@ -162,7 +162,7 @@
 async fn a_claim_that_was_given_up_is_released() {
     let setup = setup().await;
     let a = Claims::start(setup.platform.clone(), "a".into());
-    setup.table.gate().set(Faults {
+    setup.table.injector().set(Faults {
         lose_answers: 100,
         ..Faults::default()
     });
@@ -170,7 +170,7 @@
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
         ClaimResult::Unavailable
     );
-    setup.table.gate().set(Faults::default());
+    setup.table.injector().set(Faults::default());
     wait_for_state(&setup, KEY, |c| {
         c.as_ref().is_some_and(|c| c.state == ClaimState::Released)
     })
@@ -187,7 +187,7 @@
 async fn a_claim_written_after_it_was_given_up_never_blocks_the_key() {
     let setup = setup().await;
     let a = Claims::start(setup.platform.clone(), "a".into());
-    setup.table.gate().set(Faults {
+    setup.table.injector().set(Faults {
         hang: true,
         ..Faults::default()
     });
@@ -195,7 +195,7 @@
         a.claim(KEY.into(), claim(1, 1, "a"), true).await,
         ClaimResult::Unavailable
     );
-    setup.table.gate().set(Faults::default());
+    setup.table.injector().set(Faults::default());
     wait_for_state(&setup, KEY, |c| {
         c.as_ref().is_some_and(|c| c.state == ClaimState::Released)
     })
@@ -245,12 +245,12 @@
         while setup.table.history().refused == 0 {
             tokio::task::yield_now().await;
         }
-        setup.table.gate().set(Faults {
+        setup.table.injector().set(Faults {
             hang: true,
             ..Faults::default()
         });
     });
-    setup.table.gate().set(Faults::default());
+    setup.table.injector().set(Faults::default());
     if got == ClaimResult::Unavailable {
         let released = |c: &Option<Claim>| {
             let ours = |c: &Claim| c.request == RequestId(2) && c.state == ClaimState::Released;
--- a/crates/arbutusquay/src/commands.rs
+++ b/crates/arbutusquay/src/commands.rs
@@ -41,7 +41,7 @@
 }
 
 /// Says that the platform wasn't reached.
-fn unreachable(e: &store::Error) -> Exit {
+fn report_unreachable(e: &store::Error) -> Exit {
     eprintln!("{e}");
     Exit::Unreachable
 }
--- a/crates/arbutusquay/src/commands/apply.rs
+++ b/crates/arbutusquay/src/commands/apply.rs
@@ -9,11 +9,11 @@
 use store::{HttpPlatform, Row, Table, Txn, WriteError};
 
 /// Beginning of the line with the version that was read.
-pub const VERSION_LINE: &str = "# version: ";
+pub const VERSION_PREFIX: &str = "# version: ";
 /// Looks at the row after a write whose outcome is unknown.
-const LOOKS: u32 = 5;
+const READ_BACK_ATTEMPTS: u32 = 5;
 /// Time between these looks.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(500);
+const READ_BACK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// Applies a document.
 pub async fn run(args: &ApplyArgs) -> Exit {
@@ -24,14 +24,14 @@
 
 async fn apply(args: &ApplyArgs) -> Result<Exit, Exit> {
     let file = read(&args.file)?;
-    let (stated, text) = split_version(&file);
+    let (file_version, text) = split_version(&file);
     let doc = Doc::parse(&text).map_err(|faults| {
         print_faults(&args.file, &faults);
         Exit::Usage
     })?;
-    let Some(over) = args.over.or(stated) else {
+    let Some(over) = args.over.or(file_version) else {
         eprintln!(
-            "say which version this document is over: the line `{VERSION_LINE}N` that `show` \
+            "say which version this document is over: the line `{VERSION_PREFIX}N` that `show` \
              writes, or --over N (0 for a service's first document)"
         );
         return Err(Exit::Usage);
@@ -43,36 +43,38 @@
         .put(&key, text.clone())
         .put(head_key(&doc.service), String::new());
     match table.commit(&txn).await {
-        Ok(version) => Ok(done(&doc.service, version)),
+        Ok(version) => Ok(report_committed(&doc.service, version)),
         Err(WriteError::Refused(conflicts)) => {
             let row = conflicts.into_iter().next().and_then(|c| c.row);
-            Ok(conflict(&doc.service, over, row.as_ref(), &text))
+            Ok(report_conflict(&doc.service, over, row.as_ref(), &text))
         }
         Err(WriteError::Unavailable(why)) => {
             eprintln!("platform unavailable, nothing was written: {why}");
             Ok(Exit::Unreachable)
         }
-        Err(WriteError::Unknown(why)) => Ok(settle(&table, &doc.service, &txn, over, &why).await),
+        Err(WriteError::Unknown(why)) => {
+            Ok(resolve_unknown(&table, &doc.service, &txn, over, &why).await)
+        }
     }
 }
 
 /// Takes the version's line, which isn't part of the document, off a file. The
 /// line is left blank, so that the places of faults stay right.
 fn split_version(file: &str) -> (Option<u64>, String) {
-    let Some(line) = file.lines().find(|l| l.starts_with(VERSION_LINE)) else {
+    let Some(line) = file.lines().find(|l| l.starts_with(VERSION_PREFIX)) else {
         return (None, file.to_owned());
     };
-    let version = line[VERSION_LINE.len()..].trim().parse().ok();
+    let version = line[VERSION_PREFIX.len()..].trim().parse().ok();
     let text = file.replacen(line, "", 1);
     (version, text)
 }
 
-fn done(service: &str, version: u64) -> Exit {
+fn report_committed(service: &str, version: u64) -> Exit {
     println!("{service}: version {version} is committed");
     Exit::Done
 }
 
-fn conflict(service: &str, over: u64, row: Option<&Row>, text: &str) -> Exit {
+fn report_conflict(service: &str, over: u64, row: Option<&Row>, text: &str) -> Exit {
     let Some(row) = row else {
         eprintln!("{service}: there is no document, so it can't be over version {over}; use 0");
         return Exit::Refused;
@@ -89,14 +91,20 @@
 }
 
 /// Settles a write whose outcome is unknown by reading the row back.
-async fn settle(table: &HttpPlatform, service: &str, txn: &Txn, over: u64, why: &str) -> Exit {
-    for _ in 0..LOOKS {
-        tokio::time::sleep(PAUSE).await;
+async fn resolve_unknown(
+    table: &HttpPlatform,
+    service: &str,
+    txn: &Txn,
+    over: u64,
+    why: &str,
+) -> Exit {
+    for _ in 0..READ_BACK_ATTEMPTS {
+        tokio::time::sleep(READ_BACK_INTERVAL).await;
         let Ok(rows) = table.read(vec![doc_key(service)]).await else {
             continue;
         };
         match rows.first() {
-            Some(row) if row.token == txn.token => return done(service, row.version),
+            Some(row) if row.token == txn.token => return report_committed(service, row.version),
             // Another version over the same one: ours can never come now.
             Some(row) if row.version != over => {
                 let text = txn
@@ -104,7 +112,7 @@
                     .first()
                     .and_then(|p| p.value.as_deref())
                     .unwrap_or("");
-                return conflict(service, over, Some(row), text);
+                return report_conflict(service, over, Some(row), text);
             }
             _ => {}
         }
--- a/crates/arbutusquay/src/commands/check.rs
+++ b/crates/arbutusquay/src/commands/check.rs
@@ -17,9 +17,9 @@
                 Kind::Engine(m) => format!("engine, model {}@{}", m.name, m.version),
                 Kind::Plain => "plain".to_owned(),
             };
-            let (classes, ups) = (doc.classes.len(), doc.upstreams.len());
+            let (class_count, upstream_count) = (doc.classes.len(), doc.upstreams.len());
             println!(
-                "{}: valid ({kind}, {classes} classes, {ups} upstreams)",
+                "{}: valid ({kind}, {class_count} classes, {upstream_count} upstreams)",
                 doc.service
             );
             Exit::Done
--- a/crates/arbutusquay/src/commands/explain.rs
+++ b/crates/arbutusquay/src/commands/explain.rs
@@ -13,14 +13,14 @@
 /// How long before a request's first line other lines may explain it, in
 /// milliseconds: a lost dependency is told of within a second, and bounds on what
 /// a process believes are a few seconds.
-const BEFORE_MS: u64 = 5000;
+const CONTEXT_BEFORE_MS: u64 = 5000;
 /// How long after its last line the line may stand that its upstream has started again,
 /// in milliseconds: the upstream's connections end first, then it starts, writes its row,
 /// and that is read.
-const RESTART_WITHIN_MS: u64 = 5000;
+const RESTART_AFTER_MS: u64 = 5000;
 /// How long before a request's first line lines about the same work may stand, in
 /// milliseconds: as long as hosts remember what ends upstreams.
-const WORK_BEFORE_MS: u64 = 3_600_000;
+const WORK_HISTORY_MS: u64 = 3_600_000;
 /// Fields that stand at the beginning of a line or are the same on all.
 const LEADING: [&str; 5] = ["ts_ms", "level", "process", "event", "request"];
 
@@ -35,9 +35,9 @@
 
 /// How long after its last line a configuration may come into force that explains it, in
 /// milliseconds: a key that was taken away is refused from then on.
-const CONFIG_WITHIN_MS: u64 = 10_000;
+const CONFIG_AFTER_MS: u64 = 10_000;
 /// Begins an id that is the number of a window of usage.
-const WINDOW: &str = "window:";
+const WINDOW_PREFIX: &str = "window:";
 
 /// Runs the command.
 pub fn run(args: &ExplainArgs) -> Exit {
@@ -49,26 +49,28 @@
         }
     }
     lines.sort_by_key(|l| l.at_ms);
-    if let Some(window) = args.id.strip_prefix(WINDOW) {
+    if let Some(window) = args.id.strip_prefix(WINDOW_PREFIX) {
         return run_window(window, &lines);
     }
-    let own: Vec<&Line> = lines.iter().filter(|l| l.is_about(&args.id)).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+    let own_lines: Vec<&Line> = lines.iter().filter(|l| l.is_of_request(&args.id)).collect();
+    let (Some(first), Some(last)) = (own_lines.first(), own_lines.last()) else {
         eprintln!("no line about request {}", args.id);
         return Exit::Refused;
     };
-    let from = first.at_ms.saturating_sub(BEFORE_MS);
+    let from = first.at_ms.saturating_sub(CONTEXT_BEFORE_MS);
     let until = last.at_ms;
-    let shown = lines.iter().filter(|l| {
+    let printed = lines.iter().filter(|l| {
         let until = match l.event.as_str() {
-            "upstream_restarted" => until.saturating_add(RESTART_WITHIN_MS),
-            "config_in_force" => until.saturating_add(CONFIG_WITHIN_MS),
+            "upstream_restarted" => until.saturating_add(RESTART_AFTER_MS),
+            "config_in_force" => until.saturating_add(CONFIG_AFTER_MS),
             _ => until,
         };
         let is_near = (from..=until).contains(&l.at_ms);
-        l.is_about(&args.id) || (is_near && explains(l, &own)) || tells_of_work(l, &own)
+        l.is_of_request(&args.id)
+            || (is_near && is_context(l, &own_lines))
+            || is_about_same_work(l, &own_lines)
     });
-    for line in shown {
+    for line in printed {
         println!("{}", line.text(first.at_ms));
     }
     Exit::Done
@@ -81,35 +83,38 @@
         eprintln!("{text}: not the number of a window");
         return Exit::Usage;
     };
-    let told: Vec<(u64, u64)> = lines
+    let window_lines: Vec<(u64, u64)> = lines
         .iter()
         .filter_map(|l| Some((l.fields.get("window")?.as_u64()?, l.at_ms)))
         .collect();
-    let at = |is_near: &dyn Fn(u64) -> bool| {
-        let near = told.iter().filter(|(w, _)| is_near(*w));
+    let times = |is_near: &dyn Fn(u64) -> bool| {
+        let near = window_lines.iter().filter(|(w, _)| is_near(*w));
         near.map(|(_, at)| *at).collect::<Vec<_>>()
     };
-    let own = at(&|w| w == window);
-    let before = at(&|w| w < window).into_iter().max();
-    let after = at(&|w| w > window).into_iter().min();
-    let from = own.iter().min().map(|at| at.saturating_sub(BEFORE_MS));
-    let until = own.iter().max().copied();
+    let own_times = times(&|w| w == window);
+    let before = times(&|w| w < window).into_iter().max();
+    let after = times(&|w| w > window).into_iter().min();
+    let from = own_times
+        .iter()
+        .min()
+        .map(|at| at.saturating_sub(CONTEXT_BEFORE_MS));
+    let until = own_times.iter().max().copied();
     let (Some(from), Some(until)) = (from.or(before), until.or(after)) else {
         eprintln!("no line about window {window}");
         return Exit::Refused;
     };
-    let shown = lines
+    let printed = lines
         .iter()
         .filter(|l| (from..=until).contains(&l.at_ms))
-        .filter(|l| l.is_of_window(window) || tells_of_usage(l));
-    for line in shown {
+        .filter(|l| l.is_of_window(window) || is_about_usage(l));
+    for line in printed {
         println!("{}", line.text(from));
     }
     Exit::Done
 }
 
 /// Whether a line tells who held the duty to report usage, or what that depends on.
-fn tells_of_usage(line: &Line) -> bool {
+fn is_about_usage(line: &Line) -> bool {
     match line.event.as_str() {
         "lease_taken" => line.field("service") == Some("usage"),
         "lease_not_taken" => line.field("duty") == Some("usage"),
@@ -132,10 +137,11 @@
 
 /// Whether a line that isn't about the request tells what its process believed of
 /// an upstream that the request met, or of a dependency.
-fn explains(line: &Line, own: &[&Line]) -> bool {
-    let is_process = own.iter().any(|o| o.process == line.process);
+fn is_context(line: &Line, own_lines: &[&Line]) -> bool {
+    let is_process = own_lines.iter().any(|o| o.process == line.process);
     let upstream = line.field("upstream");
-    let is_upstream = upstream.is_some() && own.iter().any(|o| o.field("upstream") == upstream);
+    let is_upstream =
+        upstream.is_some() && own_lines.iter().any(|o| o.field("upstream") == upstream);
     match line.event.as_str() {
         "upstream_suspended" | "upstream_leaving" | "upstream_restarted" => {
             is_process && is_upstream
@@ -147,8 +153,8 @@
 }
 
 /// Whether a line tells of the same work that upstreams ended under it, or what was decided.
-fn tells_of_work(line: &Line, own: &[&Line]) -> bool {
-    let is_told = matches!(
+fn is_about_same_work(line: &Line, own_lines: &[&Line]) -> bool {
+    let is_work_event = matches!(
         line.event.as_str(),
         "connection_broke"
             | "upstream_went_dark"
@@ -157,21 +163,21 @@
             | "work_tried"
     );
     let work = line.field("work");
-    let until = own.last().map_or(0, |last| last.at_ms);
-    let from = until.saturating_sub(WORK_BEFORE_MS);
-    let is_same = work.is_some() && own.iter().any(|o| o.field("work") == work);
-    is_told && is_same && (from..=until).contains(&line.at_ms)
+    let until = own_lines.last().map_or(0, |last| last.at_ms);
+    let from = until.saturating_sub(WORK_HISTORY_MS);
+    let is_same = work.is_some() && own_lines.iter().any(|o| o.field("work") == work);
+    is_work_event && is_same && (from..=until).contains(&line.at_ms)
 }
 
 impl Line {
     fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
-        let word = |name: &str| Some(fields.get(name)?.as_str()?.to_owned());
+        let text_field = |name: &str| Some(fields.get(name)?.as_str()?.to_owned());
         Some(Self {
             at_ms: fields.get("ts_ms")?.as_u64()?,
-            process: word("process")?,
-            event: word("event")?,
+            process: text_field("process")?,
+            event: text_field("event")?,
             fields,
         })
     }
@@ -180,7 +186,7 @@
         self.fields.get(name)?.as_str()
     }
 
-    fn is_about(&self, id: &str) -> bool {
+    fn is_of_request(&self, id: &str) -> bool {
         self.field("request") == Some(id)
     }
 
@@ -192,8 +198,8 @@
     fn text(&self, first_ms: u64) -> String {
         let offset = self.at_ms as f64 - first_ms as f64;
         let mut out = format!("{offset:+8.0} ms  {}  {}", self.process, self.event);
-        let told = self.fields.iter().filter(|(_, v)| !v.is_null());
-        for (name, value) in told.filter(|(n, _)| !LEADING.contains(&n.as_str())) {
+        let present = self.fields.iter().filter(|(_, v)| !v.is_null());
+        for (name, value) in present.filter(|(n, _)| !LEADING.contains(&n.as_str())) {
             let value = value
                 .as_str()
                 .map_or_else(|| value.to_string(), str::to_owned);
--- a/crates/arbutusquay/src/commands/process.rs
+++ b/crates/arbutusquay/src/commands/process.rs
@@ -10,10 +10,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Signals that stop a process gracefully.
-const SIGNALS: [SignalKind; 2] = [SignalKind::terminate(), SignalKind::interrupt()];
+const GATEWAY_STOP_SIGNALS: [SignalKind; 2] = [SignalKind::terminate(), SignalKind::interrupt()];
 /// The same for entry and agent, which read their settings once: as SIGHUP isn't a
 /// reload to them, it would end them at once and cut off what they run.
-const OWN_SIGNALS: [SignalKind; 3] = [
+const STOP_SIGNALS: [SignalKind; 3] = [
     SignalKind::terminate(),
     SignalKind::interrupt(),
     SignalKind::hangup(),
@@ -21,20 +21,20 @@
 
 /// Runs an entry.
 pub async fn entry(path: &Path) -> Exit {
-    let settings = match start(path) {
+    let settings = match init_from_settings(path) {
         Ok(settings) => settings,
         Err(exit) => return exit,
     };
-    end(entry::run(settings, stop_on(&OWN_SIGNALS)).await)
+    finish(entry::run(settings, stop_on_signals(&STOP_SIGNALS)).await)
 }
 
 /// Runs an agent.
 pub async fn agent(path: &Path) -> Exit {
-    let settings = match start(path) {
+    let settings = match init_from_settings(path) {
         Ok(settings) => settings,
         Err(exit) => return exit,
     };
-    end(agent::run(settings, stop_on(&OWN_SIGNALS)).await)
+    finish(agent::run(settings, stop_on_signals(&STOP_SIGNALS)).await)
 }
 
 /// Runs a gateway.
@@ -48,7 +48,7 @@
         }
     };
     observe::init(&host.name);
-    let ended = gateway::run(path, host, stop_on(&SIGNALS)).await;
+    let ended = gateway::run(path, host, stop_on_signals(&GATEWAY_STOP_SIGNALS)).await;
     observe::flush();
     match ended {
         Ok(()) => Exit::Done,
@@ -59,13 +59,13 @@
     }
 }
 
-fn start(path: &Path) -> Result<Settings, Exit> {
+fn init_from_settings(path: &Path) -> Result<Settings, Exit> {
     let settings = settings(path)?;
     observe::init(&settings.name);
     Ok(settings)
 }
 
-fn end(ended: Result<(), StartError>) -> Exit {
+fn finish(ended: Result<(), StartError>) -> Exit {
     observe::flush();
     match ended {
         Ok(()) => Exit::Done,
@@ -81,7 +81,7 @@
 }
 
 /// A stop that signals give. Later ones change nothing.
-fn stop_on(kinds: &[SignalKind]) -> Stop {
+fn stop_on_signals(kinds: &[SignalKind]) -> Stop {
     let stop = Stop::default();
     for kind in kinds.iter().copied() {
         let mut signal = signal(kind).expect("a handler for a plain signal can be set");
--- a/crates/arbutusquay/src/commands/report.rs
+++ b/crates/arbutusquay/src/commands/report.rs
@@ -1,6 +1,6 @@
 //! `report`: who got what, and why not.
 
-use super::{platform, unreachable};
+use super::{platform, report_unreachable};
 use crate::args::ReportArgs;
 use crate::exit::Exit;
 use conf::yaml::parse_duration;
@@ -31,6 +31,6 @@
             print!("{report}");
             Exit::Done
         }
-        Err(e) => unreachable(&e),
+        Err(e) => report_unreachable(&e),
     }
 }
--- a/crates/arbutusquay/src/commands/show.rs
+++ b/crates/arbutusquay/src/commands/show.rs
@@ -1,7 +1,7 @@
 //! `show`: the document of a service.
 
-use super::apply::VERSION_LINE;
-use super::{platform, unreachable};
+use super::apply::VERSION_PREFIX;
+use super::{platform, report_unreachable};
 use crate::args::ShowArgs;
 use crate::exit::Exit;
 use store::Table;
@@ -16,7 +16,7 @@
     match table.read(vec![doc_key(&args.service)]).await {
         Ok(rows) => match rows.first() {
             Some(row) => {
-                print!("{VERSION_LINE}{}\n{}", row.version, row.value);
+                print!("{VERSION_PREFIX}{}\n{}", row.version, row.value);
                 Exit::Done
             }
             None => {
@@ -24,6 +24,6 @@
                 Exit::Refused
             }
         },
-        Err(e) => unreachable(&e),
+        Err(e) => report_unreachable(&e),
     }
 }
--- a/crates/arbutusquay/src/commands/status.rs
+++ b/crates/arbutusquay/src/commands/status.rs
@@ -1,6 +1,6 @@
 //! `status`: documents in force, upstreams, roles, leaving hosts, who plans.
 
-use super::{settings, unreachable};
+use super::{report_unreachable, settings};
 use crate::args::StatusArgs;
 use crate::exit::Exit;
 use conf::{Doc, Settings};
@@ -61,7 +61,7 @@
             print!("{status}");
             Exit::Done
         }
-        Err(e) => unreachable(&e),
+        Err(e) => report_unreachable(&e),
     }
 }
 
@@ -110,13 +110,13 @@
     let desired_rows = table
         .read(doc.upstreams.iter().map(|u| key(&u.name)).collect())
         .await?;
-    let asking: Vec<_> = doc
+    let requests: Vec<_> = doc
         .upstreams
         .iter()
-        .map(|u| tokio::spawn(ask(u.agent)))
+        .map(|u| tokio::spawn(agent_status(u.agent)))
         .collect();
     let mut out = Vec::new();
-    for (u, asked) in doc.upstreams.iter().zip(asking) {
+    for (u, request) in doc.upstreams.iter().zip(requests) {
         let desired = |r: &&Row| r.key == key(&u.name);
         out.push(UpstreamStatus {
             name: u.name.clone(),
@@ -125,13 +125,13 @@
                 .iter()
                 .find(desired)
                 .and_then(|r| decode(&r.value)),
-            agent: asked.await.ok().flatten(),
+            agent: request.await.ok().flatten(),
         });
     }
     Ok(out)
 }
 
-async fn ask(addr: std::net::SocketAddr) -> Option<AgentStatus> {
+async fn agent_status(addr: std::net::SocketAddr) -> Option<AgentStatus> {
     let peer = Peer::new(addr, TIMEOUT);
     let answer = peer
         .call(Method::GET, PATH_STATUS, Vec::new(), MAX_STATUS, TIMEOUT)
@@ -175,8 +175,8 @@
             a.doc_version
         )?;
         write!(f, "waiting {:<4} running {:<4}", a.waiting, a.running)?;
-        if let Some(w) = &self.desired {
-            write!(f, " order {} ({})", w.order, w.why)?;
+        if let Some(desired) = &self.desired {
+            write!(f, " order {} ({})", desired.order, desired.why)?;
         }
         match &a.fault {
             Some(fault) => write!(f, " fault: {fault}"),
--- a/crates/arbutusquay/tests/crashing.rs
+++ b/crates/arbutusquay/tests/crashing.rs
@@ -12,23 +12,23 @@
 /// The shipped binary.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 /// Text in the requests that crash upstreams.
-const DEADLY: &str = "deadly";
+const CRASHING_TEXT: &str = "deadly";
 /// Time after the third end from which on few more sends are allowed, and a bit more.
-const SETTLED: Duration = Duration::from_millis(3200);
+const SETTLE_TIME: Duration = Duration::from_millis(3200);
 /// Sends that are allowed from then on, by all entries together.
-const MORE: u32 = 3;
+const MAX_LATER_CRASHES: u32 = 3;
 
 async fn crashing_bed() -> Bed {
     let bed = bed(BINARY, 4).await;
     let faults = Faults {
-        crash_about: DEADLY.into(),
+        crash_about: CRASHING_TEXT.into(),
         ..Faults::default()
     };
     for engine in bed.engines() {
-        fakes::serve::Standin::gate(&*engine).set(faults.clone());
+        fakes::serve::FakeServer::injector(&*engine).set(faults.clone());
     }
     for plain in bed.plains() {
-        fakes::serve::Standin::gate(&*plain).set(faults.clone());
+        fakes::serve::FakeServer::injector(&*plain).set(faults.clone());
     }
     bed
 }
@@ -38,10 +38,10 @@
     let plains = bed.plains();
     let of_engines = engines
         .iter()
-        .map(|e| fakes::serve::Standin::gate(&**e).crash_count());
+        .map(|e| fakes::serve::FakeServer::injector(&**e).crash_count());
     let of_plains = plains
         .iter()
-        .map(|p| fakes::serve::Standin::gate(&**p).crash_count());
+        .map(|p| fakes::serve::FakeServer::injector(&**p).crash_count());
     of_engines.chain(of_plains).sum()
 }
 
@@ -52,7 +52,7 @@
         what: What::Plain {
             method: "POST",
             path: "/notices".into(),
-            body: DEADLY.into(),
+            body: CRASHING_TEXT.into(),
             key: None,
         },
         ..lookup("/")
@@ -67,7 +67,7 @@
 }
 
 /// Sends it by turns to both entries until three upstreams have ended.
-async fn crash_three(bed: &Bed, ask: &Ask) {
+async fn crash_three_upstreams(bed: &Bed, ask: &Ask) {
     let mut turn = 0;
     while crashes(bed) < 3 {
         bed.caller(turn % 2).send(ask.clone()).await;
@@ -76,19 +76,19 @@
     }
 }
 
-async fn is_stopped(ask: Ask, other: Ask) {
+async fn assert_stopped(ask: Ask, other: Ask) {
     let mut bed = crashing_bed().await;
-    crash_three(&bed, &ask).await;
-    tokio::time::sleep(SETTLED).await;
+    crash_three_upstreams(&bed, &ask).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let before = crashes(&bed);
     for turn in 0..16 {
         bed.caller(turn % 2).send(ask.clone()).await;
         let more = crashes(&bed) - before;
-        assert!(more <= MORE, "{more} more upstreams ended");
+        assert!(more <= MAX_LATER_CRASHES, "{more} more upstreams ended");
     }
     // It is tried once more; once all know what came of that it is for good.
     for turn in 0..4 {
-        tokio::time::sleep(SETTLED / 2).await;
+        tokio::time::sleep(SETTLE_TIME / 2).await;
         bed.caller(turn % 2).send(ask.clone()).await;
     }
     let sent = bed.caller(0).send(ask.clone()).await;
@@ -98,25 +98,28 @@
     bed.site.entries[0].process.kill().await.unwrap();
     bed.site.restart_entry(0).unwrap();
     bed.site.ready().await.unwrap();
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     bed.caller(0).send(ask.clone()).await;
     let more = crashes(&bed) - before;
-    assert!(more <= MORE, "{more} more upstreams ended after a restart");
+    assert!(
+        more <= MAX_LATER_CRASHES,
+        "{more} more upstreams ended after a restart"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_completion_that_crashes_each_engine_is_stopped_at_all_entries() {
-    is_stopped(reply(DEADLY, 5), reply("other", 5)).await;
+async fn a_completion_that_crashes_each_engine_is_blocked_at_all_entries() {
+    assert_stopped(reply(CRASHING_TEXT, 5), reply("other", 5)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_crashes_each_plain_service_is_stopped_at_all_entries() {
-    is_stopped(post(), lookup("/other")).await;
+async fn a_call_that_crashes_each_plain_service_is_blocked_at_all_entries() {
+    assert_stopped(post(), lookup("/other")).await;
 }
 
 /// Broken streams of engines that go on are no crash.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_that_engines_break_are_not_held_against_the_request() {
+async fn streams_broken_by_running_engines_do_not_count_as_crashes() {
     let bed = bed(BINARY, 3).await;
     for _ in 0..4 {
         for engine in bed.engines() {
@@ -124,12 +127,12 @@
                 break_streams: 1,
                 ..Faults::default()
             };
-            fakes::serve::Standin::gate(&*engine).set(faults);
+            fakes::serve::FakeServer::injector(&*engine).set(faults);
         }
         bed.caller(0).send(reply("same", 40)).await;
     }
     for engine in bed.engines() {
-        fakes::serve::Standin::gate(&*engine).set(Faults::default());
+        fakes::serve::FakeServer::injector(&*engine).set(Faults::default());
     }
     until("ready agents", || true).await;
     let sent = bed.caller(0).send(reply("same", 40)).await;
--- a/crates/arbutusquay/tests/explain.rs
+++ b/crates/arbutusquay/tests/explain.rs
@@ -14,9 +14,9 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 /// Longest wait for a condition.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-struct Bed {
+struct Fixture {
     binary: PathBuf,
     log: PathBuf,
     callers: SocketAddr,
@@ -24,7 +24,7 @@
     _proc: Proc,
 }
 
-async fn start(host: u8) -> Bed {
+async fn start(host: u8) -> Fixture {
     let net = (std::process::id() % 200 + 20) as u8;
     let ip = Ipv4Addr::new(127, 66, net, host);
     let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
@@ -35,7 +35,7 @@
     let file = dir.join("edge.toml");
     std::fs::write(&file, settings("edge", ip, store.addr)).unwrap();
     let binary = PathBuf::from(BINARY);
-    Bed {
+    Fixture {
         _proc: Proc::start_gateway(&binary, "edge", &file).unwrap(),
         binary,
         log: file.with_extension("log"),
@@ -44,8 +44,8 @@
     }
 }
 
-impl Bed {
-    async fn add(&self, id: &str, service: &str, stage: Option<&str>) -> Worker {
+impl Fixture {
+    async fn add_worker(&self, id: &str, service: &str, stage: Option<&str>) -> Worker {
         let SocketAddr::V4(callers) = self.callers else {
             panic!("an IPv4 address");
         };
@@ -53,20 +53,27 @@
             IpAddr::V4(*callers.ip()),
             7100 + self.store.calls() as u16 % 900,
         );
-        let worker_ = Worker::start(at, id).await.unwrap();
+        let started = Worker::start(at, id).await.unwrap();
         self.store
-            .put(WORKERS, id, &worker(service, worker_.addr, "ready", stage));
-        worker_
+            .put(WORKERS, id, &worker(service, started.addr, "ready", stage));
+        started
     }
 
     /// Sends a request until the gateway knows its worker; gives the first answer
     /// that isn't "no upstream", with the id that it was for.
-    async fn ask(&self, method: &str, path: &str, more: &str) -> (String, String) {
-        let until = Instant::now() + PATIENCE;
+    async fn request_until_routed(
+        &self,
+        method: &str,
+        path: &str,
+        extra_headers: &str,
+    ) -> (String, String) {
+        let until = Instant::now() + TIMEOUT;
         for n in 0.. {
             assert!(Instant::now() < until);
             let id = format!("id{}-{n}", path.replace('/', ""));
-            let text = self.send(&request(method, path, &id, more, "x")).await;
+            let text = self
+                .send(&request(method, path, &id, extra_headers, "x"))
+                .await;
             if !text.is_empty() && !text.contains("no_upstream") && !text.contains("no_config") {
                 return (id, text);
             }
@@ -92,20 +99,20 @@
 
     /// Sends a request and waits for the first bytes of its answer, however late; none if
     /// nobody takes connections yet.
-    async fn wait_sent(&self, text: &str) -> String {
+    async fn send_and_wait(&self, text: &str) -> String {
         let Ok(mut tcp) = TcpStream::connect(self.callers).await else {
             return String::new();
         };
         tcp.write_all(text.as_bytes()).await.unwrap();
         let mut buf = Vec::new();
-        let read = tokio::time::timeout(PATIENCE, tcp.read_buf(&mut buf)).await;
+        let read = tokio::time::timeout(TIMEOUT, tcp.read_buf(&mut buf)).await;
         assert!(read.is_ok_and(|n| n.is_ok()), "no answer");
         String::from_utf8_lossy(&buf).into_owned()
     }
 
     /// What `explain` prints once the request's last line is written.
     async fn explain(&self, id: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             let out = run(&self.binary, id, &self.log).await;
             if out.contains(" answered ") {
@@ -117,14 +124,14 @@
     }
 }
 
-impl Bed {
+impl Fixture {
     /// What `explain` prints once a word is in it, or after some time without.
-    async fn wait_explained(&self, id: &str, word: &str) -> String {
-        let until = Instant::now() + PATIENCE / 4;
+    async fn explain_until(&self, id: &str, word: &str) -> String {
+        let until = Instant::now() + TIMEOUT / 4;
         loop {
-            let told = self.explain(id).await;
-            if told.contains(word) || Instant::now() > until {
-                return told;
+            let explained = self.explain(id).await;
+            if explained.contains(word) || Instant::now() > until {
+                return explained;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -138,7 +145,7 @@
     out.stdout
 }
 
-fn assert_told(text: &str, words: &[&str]) {
+fn assert_contains(text: &str, words: &[&str]) {
     for word in words {
         assert!(text.contains(word), "{word} in\n{text}");
     }
@@ -146,12 +153,12 @@
 
 #[tokio::test]
 async fn an_unknown_outcome_is_explained() {
-    let bed = start(1).await;
-    let worker = bed.add("i-lost", "plain", None).await;
+    let fixture = start(1).await;
+    let worker = fixture.add_worker("i-lost", "plain", None).await;
     worker.script([Act::Close]);
-    let (id, text) = bed.ask("POST", "/unsafe/", "").await;
+    let (id, text) = fixture.request_until_routed("POST", "/unsafe/", "").await;
     assert!(text.starts_with("HTTP/1.1 502"), "{text}");
-    let told = bed.explain(&id).await;
+    let explained = fixture.explain(&id).await;
     let words = [
         "attempt_failed",
         "upstream=i-lost",
@@ -159,16 +166,19 @@
         "reason=upstream_lost",
         "status=502",
     ];
-    assert_told(&told, &words);
-    let why = told.lines().find(|l| l.contains("attempt_failed")).unwrap();
+    assert_contains(&explained, &words);
+    let why = explained
+        .lines()
+        .find(|l| l.contains("attempt_failed"))
+        .unwrap();
     assert!(why.contains("why=") && why.contains("attempt=1"), "{why}");
 }
 
 /// The log tells of each end under the same work, though each had another id.
 #[tokio::test]
 async fn a_request_that_is_held_back_is_explained() {
-    let bed = start(7).await;
-    let SocketAddr::V4(callers) = bed.callers else {
+    let fixture = start(7).await;
+    let SocketAddr::V4(callers) = fixture.callers else {
         panic!("an IPv4 address");
     };
     let mut workers = Vec::new();
@@ -177,7 +187,7 @@
         let id = format!("i-crash-{n}");
         let worker = Worker::start_since(at, &id, 1000).await.unwrap();
         let row = worker_since(1000, "plain", at, "ready");
-        bed.store.put(WORKERS, &id, &row);
+        fixture.store.put(WORKERS, &id, &row);
         worker.crash_on(Some(Crash {
             on: "x".into(),
             away: Duration::from_secs(60),
@@ -185,16 +195,21 @@
         }));
         workers.push(worker);
     }
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     for n in 0.. {
         // Ids are made of the path, so the path says which is which and the body is the same.
         let id = format!("again-{n}");
-        let text = bed.send(&request("POST", "/unsafe/", &id, "", "x")).await;
+        let text = fixture
+            .send(&request("POST", "/unsafe/", &id, "", "x"))
+            .await;
         if text.contains("crash_suspected") || text.contains("crashes_upstreams") {
-            let told = bed.wait_explained(&id, "work_held_back").await;
-            let broke = told.lines().filter(|l| l.contains("connection_broke"));
-            assert!(broke.count() >= 3, "{told}");
-            assert_told(&told, &["upstream_ended=true", "work_held_back", "ends=3"]);
+            let explained = fixture.explain_until(&id, "work_held_back").await;
+            let broke = explained.lines().filter(|l| l.contains("connection_broke"));
+            assert!(broke.count() >= 3, "{explained}");
+            assert_contains(
+                &explained,
+                &["upstream_ended=true", "work_held_back", "ends=3"],
+            );
             return;
         }
         assert!(Instant::now() < until, "{text}");
@@ -203,46 +218,46 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_upstream_started_again_is_explained() {
-    let bed = start(6).await;
-    let SocketAddr::V4(callers) = bed.callers else {
+async fn a_request_whose_upstream_restarted_is_explained() {
+    let fixture = start(6).await;
+    let SocketAddr::V4(callers) = fixture.callers else {
         panic!("an IPv4 address");
     };
     let at = SocketAddr::new(IpAddr::V4(*callers.ip()), 7100);
     let mut worker = Worker::start_since(at, "i-again", 1000).await.unwrap();
     let register = |born| {
         let row = worker_since(born, "plain", at, "ready");
-        bed.store.put(WORKERS, "i-again", &row);
+        fixture.store.put(WORKERS, "i-again", &row);
     };
     register(1000);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     // On a busy machine the new row may be read too late to explain the failure; then
     // the upstream fails and starts again once more.
     for born in (2000..).step_by(1000) {
         worker.usually(Act::Close);
         // Ids are made of paths.
         let path = format!("/unsafe/{born}");
-        let (id, text) = bed.ask("POST", &path, "").await;
+        let (id, text) = fixture.request_until_routed("POST", &path, "").await;
         assert!(text.starts_with("HTTP/1.1 502"), "{text}");
         worker.restart(born).await.unwrap();
         register(born);
-        let told = bed.wait_explained(&id, "upstream_restarted").await;
-        if told.contains("upstream_restarted") {
+        let explained = fixture.explain_until(&id, "upstream_restarted").await;
+        if explained.contains("upstream_restarted") {
             let before = format!("before={}", born - 1000);
             let start = format!("start={born}");
             let words = ["attempt_failed", "upstream=i-again", &start, &before];
-            assert_told(&told, &words);
+            assert_contains(&explained, &words);
             return;
         }
-        assert!(Instant::now() < until, "{told}");
+        assert!(Instant::now() < until, "{explained}");
     }
 }
 
 /// No connection closed; the registry tells that the upstream has started again.
 #[tokio::test]
-async fn an_upstream_that_went_dark_is_explained() {
-    let bed = start(8).await;
-    let SocketAddr::V4(callers) = bed.callers else {
+async fn an_unresponsive_upstream_is_explained() {
+    let fixture = start(8).await;
+    let SocketAddr::V4(callers) = fixture.callers else {
         panic!("an IPv4 address");
     };
     let at = SocketAddr::new(IpAddr::V4(*callers.ip()), 7100);
@@ -250,17 +265,17 @@
     worker.usually(Act::Hang);
     let register = |born| {
         let row = worker_since(born, "plain", at, "ready");
-        bed.store.put(WORKERS, "i-dark", &row);
+        fixture.store.put(WORKERS, "i-dark", &row);
     };
     register(1000);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     // Refused until the row is read; the first that is passed on waits for the route's timeout.
     let mut count = 0;
     let id = loop {
         count += 1;
         let id = format!("dark-{count}");
-        let text = bed
-            .wait_sent(&request("POST", "/short/", &id, "", "x"))
+        let text = fixture
+            .send_and_wait(&request("POST", "/short/", &id, "", "x"))
             .await;
         if text.starts_with("HTTP/1.1 504") {
             break id;
@@ -269,19 +284,19 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     };
     register(2000);
-    let told = bed.wait_explained(&id, "upstream_went_dark").await;
+    let explained = fixture.explain_until(&id, "upstream_went_dark").await;
     let words = ["upstream_went_dark", "upstream=i-dark", "in_trial=false"];
-    assert_told(&told, &words);
+    assert_contains(&explained, &words);
 }
 
 #[tokio::test]
 async fn a_broken_off_answer_is_explained() {
-    let bed = start(2).await;
-    let worker = bed.add("i-torn", "plain", None).await;
+    let fixture = start(2).await;
+    let worker = fixture.add_worker("i-torn", "plain", None).await;
     worker.script([Act::EventsThenReset(1..=2)]);
-    let (id, text) = bed.ask("POST", "/stream/", "").await;
+    let (id, text) = fixture.request_until_routed("POST", "/stream/", "").await;
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-    let told = bed.explain(&id).await;
+    let explained = fixture.explain(&id).await;
     let words = [
         "attempt_failed",
         "upstream=i-torn",
@@ -289,22 +304,22 @@
         "reason=upstream_lost",
         "first_ms=",
     ];
-    assert_told(&told, &words);
+    assert_contains(&explained, &words);
 }
 
 #[tokio::test]
 async fn a_refusal_under_overload_is_explained() {
-    let bed = start(3).await;
-    let worker = bed.add("i-busy", "llm", Some("decode")).await;
+    let fixture = start(3).await;
+    let worker = fixture.add_worker("i-busy", "llm", Some("decode")).await;
     worker.usually(Act::Hang);
     let tokens = "token-counts: 9000,5\r\nprompt-prefix: a:10,b:10,c:8980\r\n";
     let ids: Vec<String> = (0..200).map(|n| format!("id-{n}")).collect();
     // Each of these hangs, so the estimate grows until one is refused.
     let mut held = Vec::new();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     for id in ids.iter().cycle() {
         assert!(Instant::now() < until);
-        let Ok(mut tcp) = TcpStream::connect(bed.callers).await else {
+        let Ok(mut tcp) = TcpStream::connect(fixture.callers).await else {
             continue;
         };
         let text = request("POST", "/prompt/", id, tokens, "x");
@@ -315,7 +330,7 @@
         let answer = String::from_utf8_lossy(&buf[..answer]).into_owned();
         if answer.contains("overloaded") {
             assert!(answer.contains("retry-after: "), "{answer}");
-            let told = bed.explain(id).await;
+            let explained = fixture.explain(id).await;
             let words = [
                 "outcome=not_run",
                 "reason=overloaded",
@@ -325,7 +340,7 @@
                 "tokens_ahead=",
                 "registry_ms=",
             ];
-            assert_told(&told, &words);
+            assert_contains(&explained, &words);
             return;
         }
         held.push(tcp);
@@ -333,7 +348,7 @@
 }
 
 #[tokio::test]
-async fn an_unknown_id_is_told_by_exit_code() {
+async fn an_unknown_id_sets_the_exit_code() {
     let binary = PathBuf::from(BINARY);
     let file = std::env::temp_dir().join(format!("explain-none-{}", std::process::id()));
     std::fs::write(&file, "not a line\n{\"ts_ms\":1}\n").unwrap();
@@ -349,13 +364,13 @@
 }
 
 #[tokio::test]
-async fn requests_are_served_though_nobody_reads_the_log() {
-    let bed = start(4).await;
+async fn requests_are_served_while_the_log_is_not_read() {
+    let fixture = start(4).await;
     let ip = Ipv4Addr::new(127, 66, (std::process::id() % 200 + 20) as u8, 5);
     let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
-    let file = bed.log.with_extension("unread");
-    std::fs::write(&file, settings("edge-unread", ip, bed.store.addr)).unwrap();
-    let worker = bed.add("i-ok", "plain", None).await;
+    let file = fixture.log.with_extension("unread");
+    std::fs::write(&file, settings("edge-unread", ip, fixture.store.addr)).unwrap();
+    let worker = fixture.add_worker("i-ok", "plain", None).await;
     worker.usually(Act::Echo);
     let mut child = tokio::process::Command::new(BINARY)
         .arg("gateway")
@@ -365,7 +380,7 @@
         .spawn()
         .unwrap();
     // Until it is ready it refuses requests and closes their connection.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !is_ready(at(7001)).await {
         assert!(Instant::now() < until);
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -383,7 +398,7 @@
             end.is_some_and(|b| b == format!("unread-{n:05}") || b.ends_with('}'))
         };
         while !whole(&buf) {
-            let read = tokio::time::timeout(PATIENCE, tcp.read_buf(&mut buf)).await;
+            let read = tokio::time::timeout(TIMEOUT, tcp.read_buf(&mut buf)).await;
             assert!(read.unwrap().unwrap() > 0);
         }
         served += u32::from(buf.starts_with(b"HTTP/1.1 200"));
@@ -407,50 +422,56 @@
 
 const SECRET: &str = "k-secret-and-long";
 
-fn one_tenant(version: u64, keys: &[&str]) -> serde_json::Value {
+fn config_with_keys(version: u64, keys: &[&str]) -> serde_json::Value {
     let keys: Vec<String> = keys.iter().map(|key| (*key).to_owned()).collect();
     with_tenants(config(version, &routes()), vec![tenant("one", &keys)])
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_away_is_explained_and_shown_nowhere() {
-    let bed = start(18).await;
-    let _worker = bed.add("i-1", "plain", None).await;
-    let more = format!("key: {SECRET}\r\n");
-    bed.store
-        .put(CONFIG.0, CONFIG.1, &one_tenant(2, &[SECRET, "other"]));
-    let (served, text) = bed.ask("GET", "/safe/", &more).await;
+async fn a_removed_key_is_explained_and_never_logged() {
+    let fixture = start(18).await;
+    let _worker = fixture.add_worker("i-1", "plain", None).await;
+    let extra_headers = format!("key: {SECRET}\r\n");
+    fixture
+        .store
+        .put(CONFIG.0, CONFIG.1, &config_with_keys(2, &[SECRET, "other"]));
+    let (served, text) = fixture
+        .request_until_routed("GET", "/safe/", &extra_headers)
+        .await;
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-    bed.store
-        .put(CONFIG.0, CONFIG.1, &one_tenant(3, &["other"]));
-    let until = Instant::now() + PATIENCE;
+    fixture
+        .store
+        .put(CONFIG.0, CONFIG.1, &config_with_keys(3, &["other"]));
+    let until = Instant::now() + TIMEOUT;
     let id = loop {
         assert!(Instant::now() < until);
-        let (id, text) = bed.ask("GET", "/safe/", &more).await;
+        let (id, text) = fixture
+            .request_until_routed("GET", "/safe/", &extra_headers)
+            .await;
         if text.starts_with("HTTP/1.1 401") {
             break id;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
-    let told = bed.wait_explained(&id, "removed_key").await;
+    let explained = fixture.explain_until(&id, "removed_key").await;
     let words = ["status=401", "tenant=one", "key_removed_by=3", "config_ms="];
-    assert_told(&told, &words);
+    assert_contains(&explained, &words);
     // One that ran with it shows since when the version was in force that allowed it.
-    let told = bed.explain(&served).await;
-    assert_told(&told, &["config=2", "config_ms=", "tenant=one"]);
-    let log = std::fs::read_to_string(&bed.log).unwrap();
+    let explained = fixture.explain(&served).await;
+    assert_contains(&explained, &["config=2", "config_ms=", "tenant=one"]);
+    let log = std::fs::read_to_string(&fixture.log).unwrap();
     assert!(!log.contains(SECRET), "the key is in the log");
 }
 
 #[tokio::test]
-async fn a_window_that_was_not_reported_is_explained() {
+async fn an_unreported_usage_window_is_explained() {
     let net = (std::process::id() % 200 + 20) as u8;
     let ip = Ipv4Addr::new(127, 66, net, 19);
     let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
     let store = Store::start(at(7003)).unwrap();
     let cloud = standin::Cloud::start(at(7005)).unwrap();
     cloud.set_mode(standin::CloudMode::Refuse(400));
-    store.put(CONFIG.0, CONFIG.1, &one_tenant(2, &["other"]));
+    store.put(CONFIG.0, CONFIG.1, &config_with_keys(2, &["other"]));
     let dir = std::env::temp_dir().join(format!("explain-{}-usage", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let file = dir.join("edge.toml");
@@ -460,7 +481,7 @@
     let binary = PathBuf::from(BINARY);
     let _proc = Proc::start_gateway(&binary, "edge", &file).unwrap();
     let log = file.with_extension("log");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let window = loop {
         assert!(Instant::now() < until);
         let text = std::fs::read_to_string(&log).unwrap_or_default();
@@ -471,7 +492,7 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     };
-    let told = run(&binary, &format!("window:{window}"), &log).await;
+    let explained = run(&binary, &format!("window:{window}"), &log).await;
     let words = ["lease_taken", "usage_decided", "usage_missed", "status 400"];
-    assert_told(&told, &words);
+    assert_contains(&explained, &words);
 }
--- a/crates/arbutusquay/tests/lifecycle.rs
+++ b/crates/arbutusquay/tests/lifecycle.rs
@@ -7,7 +7,7 @@
 use bench::procs::{Proc, Signal};
 use fakes::Faults;
 use fakes::clock::now_ms;
-use fakes::serve::Standin;
+use fakes::serve::FakeServer;
 use std::path::PathBuf;
 use std::time::Duration;
 use store::HostState;
@@ -17,17 +17,21 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 
 /// Tokens of a stream that is still running when something happens to it.
-const LONG: u32 = 600;
+const LONG_STREAM_TOKENS: u32 = 600;
 
 /// Starts long streams through an entry and waits until all run.
-async fn streams(bed: &Bed, entry: usize, count: usize) -> Vec<tokio::task::JoinHandle<bool>> {
+async fn start_streams(
+    bed: &Bed,
+    entry: usize,
+    count: usize,
+) -> Vec<tokio::task::JoinHandle<bool>> {
     let tasks: Vec<_> = (0..count)
         .map(|n| {
             let caller = bed.caller(entry);
             // Each of another tenant, so that no tenant's limit holds one back.
             let ask = Ask {
                 tenant: format!("t{n}"),
-                ..reply(&format!("long {n}"), LONG)
+                ..reply(&format!("long {n}"), LONG_STREAM_TOKENS)
             };
             tokio::spawn(async move { is_whole(&caller.send(ask).await) })
         })
@@ -43,20 +47,20 @@
     tasks
 }
 
-async fn all_whole(tasks: Vec<tokio::task::JoinHandle<bool>>) {
+async fn assert_all_whole(tasks: Vec<tokio::task::JoinHandle<bool>>) {
     for t in tasks {
         assert!(t.await.unwrap(), "a stream was cut off");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drained_agent_takes_nothing_new_ends_its_streams_and_exits() {
+async fn a_draining_agent_takes_no_new_requests_finishes_its_streams_and_exits() {
     let mut bed = bed(BINARY, 2).await;
-    let running = streams(&bed, 0, 8).await;
+    let running = start_streams(&bed, 0, 8).await;
     bed.site.workers[0].agent.signal(Signal::Term);
     let before = bed.engine(0).history().runs.len();
     let admin = bench::deploy::admin_of(bed.site.workers[0].upstream.agent);
-    health_fails(admin).await;
+    wait_until_unhealthy(admin).await;
     let late = bed.engine(0).history().runs.len();
     for n in 0..10 {
         assert!(is_whole(
@@ -69,11 +73,11 @@
         "new work after it left"
     );
     assert!(late >= before);
-    all_whole(running).await;
+    assert_all_whole(running).await;
     assert!(bed.site.workers[0].agent.ended().await.unwrap().success());
 }
 
-async fn health_fails(admin: std::net::SocketAddr) {
+async fn wait_until_unhealthy(admin: std::net::SocketAddr) {
     let pool = net::Pool::new(admin, Duration::from_secs(5));
     let wait = async {
         loop {
@@ -93,10 +97,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_whose_host_leaves_drains_by_itself() {
     let mut bed = bed(BINARY, 2).await;
-    let running = streams(&bed, 0, 6).await;
+    let running = start_streams(&bed, 0, 6).await;
     let host = bed.site.workers[1].upstream.host.clone();
     bed.site.hosts.set(&host, HostState::Leaving);
-    all_whole(running).await;
+    assert_all_whole(running).await;
     assert!(bed.site.workers[1].agent.ended().await.unwrap().success());
     let before = bed.engine(1).history().runs.len();
     assert!(is_whole(&bed.caller(0).send(reply("after", 3)).await));
@@ -104,11 +108,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_entry_ends_its_streams_and_exits() {
+async fn a_stopped_entry_finishes_its_streams_and_exits() {
     let mut bed = bed(BINARY, 2).await;
-    let running = streams(&bed, 0, 6).await;
+    let running = start_streams(&bed, 0, 6).await;
     bed.site.entries[0].process.signal(Signal::Term);
-    all_whole(running).await;
+    assert_all_whole(running).await;
     assert!(bed.site.entries[0].process.ended().await.unwrap().success());
     assert!(is_whole(
         &bed.caller(1).send(reply("by the other", 3)).await
@@ -116,22 +120,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_of_a_killed_agent_go_on_elsewhere() {
+async fn streams_of_a_killed_agent_resume_elsewhere() {
     let mut bed = bed(BINARY, 3).await;
-    let running = streams(&bed, 0, 9).await;
+    let running = start_streams(&bed, 0, 9).await;
     bed.site.workers[0].agent.kill().await.unwrap();
-    all_whole(running).await;
+    assert_all_whole(running).await;
     bed.site.restart_agent(0).unwrap();
     bed.site.ready().await.unwrap();
     assert!(is_whole(&bed.caller(0).send(reply("after", 3)).await));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_of_a_paused_agent_go_on_elsewhere() {
+async fn streams_of_a_paused_agent_resume_elsewhere() {
     let bed = bed_with_short_idle().await;
-    let running = streams(&bed, 0, 6).await;
+    let running = start_streams(&bed, 0, 6).await;
     bed.site.workers[0].agent.signal(Signal::Pause);
-    all_whole(running).await;
+    assert_all_whole(running).await;
     assert!(is_whole(&bed.caller(0).send(reply("meanwhile", 3)).await));
     bed.site.workers[0].agent.signal(Signal::Resume);
     assert!(is_whole(&bed.caller(1).send(reply("after", 3)).await));
@@ -145,7 +149,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_agent_for_a_slot_ends_at_once_with_1() {
+async fn a_second_agent_for_a_slot_exits_at_once_with_1() {
     let bed = bed(BINARY, 1).await;
     let settings = bed.site.dir().join("agent-dossier-1.yaml");
     let binary = PathBuf::from(BINARY);
@@ -164,7 +168,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_restarted_while_the_table_is_down_serves_once_it_is_back() {
     let mut bed = bed(BINARY, 1).await;
-    bed.site.table.gate().set(Faults {
+    bed.site.table.injector().set(Faults {
         down: true,
         ..Faults::default()
     });
@@ -174,7 +178,7 @@
         is_whole(&bed.caller(1).send(lookup("/status/1")).await),
         "the other goes on"
     );
-    bed.site.table.gate().set(Faults::default());
+    bed.site.table.injector().set(Faults::default());
     bed.site.ready().await.unwrap();
     assert!(is_whole(&bed.caller(0).send(lookup("/status/2")).await));
     assert!(is_whole(&bed.caller(0).send(notice("n", "x")).await));
@@ -182,7 +186,7 @@
 
 /// Found by `bench faults`: the agent waited for ever for a peer that was paused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_agent_ends_though_a_peer_is_paused() {
+async fn a_stopped_agent_exits_while_a_peer_is_paused() {
     let mut bed = bed_with(BINARY, 2, |o| {
         o.limits = o.limits.replace('}', ", drain_bound: 2s}");
     })
@@ -208,7 +212,7 @@
 /// its upstream had begun to leave. Here the claim's answer is lost, and the row
 /// can only be read back when the agent has long been told to stop.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_that_comes_late_begins_nothing_at_a_leaving_upstream() {
+async fn a_late_claim_starts_no_call_on_a_leaving_upstream() {
     let mut bed = bed(BINARY, 1).await;
     let plain = bed
         .site
@@ -222,7 +226,7 @@
         lose_about: "key/late".into(),
         ..Faults::default()
     };
-    bed.site.table.gate().set(lost);
+    bed.site.table.injector().set(lost);
     let caller = bed.caller(0);
     let late = tokio::spawn(async move { caller.send(notice("late", "x")).await });
     let table = bed.site.table.clone();
@@ -235,11 +239,11 @@
         hang: true,
         ..Faults::default()
     };
-    bed.site.table.gate().set(cut);
+    bed.site.table.injector().set(cut);
     bed.site.workers[plain].agent.signal(Signal::Term);
     let told = now_ms();
     until("the bound", || now_ms() > told + LEAVING_BOUND_MS).await;
-    bed.site.table.gate().set(Faults::default());
+    bed.site.table.injector().set(Faults::default());
     let sent = late.await.unwrap();
     let not_run = matches!(
         sent.got,
--- a/crates/arbutusquay/tests/operators.rs
+++ b/crates/arbutusquay/tests/operators.rs
@@ -4,7 +4,7 @@
 use bench::deploy::admin_of;
 use bench::scrape::document_versions;
 use fakes::Faults;
-use fakes::serve::Standin;
+use fakes::serve::FakeServer;
 use std::path::Path;
 
 /// The shipped binary.
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn help_tells_of_every_command_and_wrong_usage_ends_with_2() {
+async fn help_lists_every_command_and_wrong_usage_exits_with_2() {
     let help = binary(&["--help"]).await;
     assert_eq!(help.code, Some(0));
     for name in [
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn check_prints_every_fault_with_its_place() {
+async fn check_prints_every_fault_with_its_position() {
     let dir = std::env::temp_dir().join(format!("check-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let file = write(
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_racing_editors_one_is_accepted_and_the_other_sees_the_difference() {
+async fn of_two_concurrent_edits_one_is_accepted_and_the_other_gets_a_diff() {
     let bed = bed(BINARY, 1).await;
     let shown = bed.site.command(&["show", PLAIN]).await.unwrap();
     assert_eq!(shown.code, Some(0));
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_whose_answer_is_lost_is_settled_and_an_outage_ends_with_3() {
+async fn a_write_with_a_lost_answer_is_resolved_and_an_outage_exits_with_3() {
     let bed = bed(BINARY, 1).await;
     let shown = bed.site.command(&["show", PLAIN]).await.unwrap();
     let file = write(
@@ -116,13 +116,13 @@
         "a.yaml",
         &shown.stdout.replace("deadline: 5s", "deadline: 6s"),
     );
-    bed.site.table.gate().set(Faults {
+    bed.site.table.injector().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
     let out = bed.site.command(&["apply", &file]).await.unwrap();
     assert_eq!(out.code, Some(0), "{}", out.stderr);
-    bed.site.table.gate().set(Faults {
+    bed.site.table.injector().set(Faults {
         down: true,
         ..Faults::default()
     });
@@ -130,7 +130,7 @@
         let out = bed.site.command(&args).await.unwrap();
         assert_eq!(out.code, Some(3), "{args:?}: {}", out.stderr);
     }
-    bed.site.objects.gate().set(Faults {
+    bed.site.objects.injector().set(Faults {
         down: true,
         ..Faults::default()
     });
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_document_comes_into_force_everywhere() {
+async fn an_applied_document_takes_effect_in_every_process() {
     let bed = bed(BINARY, 2).await;
     let shown = bed.site.command(&["show", PLAIN]).await.unwrap();
     let text = shown.stdout.replace("name: lookup", "name: vraag");
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_of_model_reaches_every_engine_and_cuts_nothing_off() {
+async fn a_model_change_reaches_every_engine_and_aborts_no_stream() {
     let bed = bed(BINARY, 3).await;
     let load: Vec<_> = (0..30)
         .map(|n| {
@@ -210,7 +210,7 @@
         bed.site.command(&["apply", &file]).await.unwrap().code,
         Some(0)
     );
-    let changed = |e: &std::sync::Arc<fakes::engine::EngineStandin>| {
+    let changed = |e: &std::sync::Arc<fakes::engine::FakeEngine>| {
         let orders = e.history().orders;
         orders.last().is_some_and(|o| o.order.model.version == 2)
     };
@@ -227,7 +227,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_report_and_the_metrics_tell_what_became_of_requests() {
+async fn the_report_and_the_metrics_count_served_requests() {
     let bed = bed(BINARY, 1).await;
     for n in 0..5 {
         assert!(is_whole(&bed.caller(n % 2).send(lookup("/status/1")).await));
--- a/crates/arbutusquay/tests/path.rs
+++ b/crates/arbutusquay/tests/path.rs
@@ -5,7 +5,7 @@
 use bench::caller::{Got, Sent, request};
 use bench::mix::{Ask, What};
 use fakes::Faults;
-use fakes::serve::Standin;
+use fakes::serve::FakeServer;
 use http_body_util::BodyExt;
 use hyper::Request;
 use net::{Pool, full};
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_are_whole_in_every_form() {
+async fn answers_are_complete_in_every_format() {
     let bed = bed(BINARY, 2).await;
     let caller = bed.caller(0);
     for (chat, stream) in [(false, false), (false, true), (true, false), (true, true)] {
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeated_key_gets_the_kept_answer_through_any_entry_and_runs_once() {
+async fn a_repeated_idempotency_key_gets_the_stored_answer_from_any_entry_and_runs_once() {
     let bed = bed(BINARY, 2).await;
     let first = bed.caller(0).send(notice("k1", "you are third")).await;
     assert_eq!(first.got, Got::Whole { kept: false });
@@ -84,7 +84,7 @@
 }
 
 /// Method, path, body, a header, and the status and reason that must come.
-type Wrong = (
+type InvalidRequest = (
     &'static str,
     &'static str,
     &'static str,
@@ -94,7 +94,7 @@
 );
 
 const COMPLETIONS: &str = "/taalmodel-dossier/v1/completions";
-const WRONG: [Wrong; 11] = [
+const INVALID_REQUESTS: [InvalidRequest; 11] = [
     (
         "POST",
         "/nobody/v1/completions",
@@ -165,10 +165,10 @@
 ];
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_requests_are_refused_with_a_type() {
+async fn invalid_requests_are_refused_with_a_reason() {
     let bed = bed(BINARY, 1).await;
     let pool = Pool::new(bed.site.entries[0].addr, Duration::from_secs(5));
-    for (method, path, body, header, status, reason) in WRONG {
+    for (method, path, body, header, status, reason) in INVALID_REQUESTS {
         let mut req = Request::builder()
             .method(method)
             .uri(path)
@@ -195,7 +195,7 @@
     );
 }
 
-async fn raw(bed: &Bed, bytes: &[u8]) -> String {
+async fn send_raw(bed: &Bed, bytes: &[u8]) -> String {
     let mut tcp = TcpStream::connect(bed.site.entries[0].addr).await.unwrap();
     // The other side may answer and close before all is sent.
     let _ = tcp.write_all(bytes).await;
@@ -210,20 +210,20 @@
     let head =
         "POST /taalmodel-dossier/v1/completions HTTP/1.1\r\nhost: e\r\nconnection: close\r\n";
     assert!(
-        raw(&bed, b"\x00\xff nonsense\r\n\r\n")
+        send_raw(&bed, b"\x00\xff nonsense\r\n\r\n")
             .await
             .contains("400")
     );
     let huge = format!("{head}x-filler: {}\r\n\r\n", "x".repeat(1 << 20));
-    assert!(raw(&bed, huge.as_bytes()).await.contains("431"));
+    assert!(send_raw(&bed, huge.as_bytes()).await.contains("431"));
     let slow = format!("{head}content-length: 100\r\n\r\n{{");
-    let got = raw(&bed, slow.as_bytes()).await;
+    let got = send_raw(&bed, slow.as_bytes()).await;
     assert!(got.contains("408") && got.contains("slow-request"), "{got}");
     let long = format!(
         "{head}content-length: 9000000\r\n\r\n{}",
         "x".repeat(9_000_000)
     );
-    let got = raw(&bed, long.as_bytes()).await;
+    let got = send_raw(&bed, long.as_bytes()).await;
     // The refusal may be lost when the rest of the body meets a closed socket.
     assert!(got.is_empty() || got.contains("too-large"), "{got}");
     assert!(is_whole(
@@ -232,7 +232,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_answers_nonsense_costs_a_retry_and_never_a_wrong_answer() {
+async fn invalid_engine_output_causes_a_retry_and_never_a_wrong_answer() {
     let bed = bed(BINARY, 3).await;
     let caller = bed.caller(0);
     let faults = [
@@ -250,7 +250,7 @@
         },
     ];
     for (n, fault) in faults.into_iter().enumerate() {
-        bed.engine(0).gate().set(fault.clone());
+        bed.engine(0).injector().set(fault.clone());
         let tasks: Vec<_> = (0..12)
             .map(|i| {
                 let caller = caller.clone();
@@ -263,7 +263,7 @@
         }
     }
     for e in bed.engines() {
-        e.gate().set(Faults {
+        e.injector().set(Faults {
             break_streams: 1000,
             ..Faults::default()
         });
@@ -280,7 +280,7 @@
     for tokens in [1, 7] {
         for e in bed.engines() {
             // The last chunk comes twice, which breaks the try after it.
-            e.gate().set(Faults {
+            e.injector().set(Faults {
                 double_last: 1,
                 ..Faults::default()
             });
@@ -291,10 +291,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_a_non_idempotent_call_is_unknown_for_good_and_ran_once() {
+async fn a_non_idempotent_call_with_a_lost_answer_stays_unknown_and_ran_once() {
     let bed = bed(BINARY, 1).await;
     let plain = bed.plains().remove(0);
-    plain.gate().set(Faults {
+    plain.injector().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
@@ -306,9 +306,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_table_service_down_idempotent_work_goes_on_and_the_rest_is_not_run() {
+async fn with_the_table_service_down_only_idempotent_requests_are_served() {
     let bed = bed(BINARY, 1).await;
-    bed.site.table.gate().set(Faults {
+    bed.site.table.injector().set(Faults {
         down: true,
         ..Faults::default()
     });
@@ -317,7 +317,7 @@
     assert!(is_whole(&bed.caller(0).send(reply("p", 5)).await));
     assert!(is_whole(&bed.caller(1).send(lookup("/status/1")).await));
     assert_eq!(bed.runs_of("down"), 0);
-    bed.site.table.gate().set(Faults::default());
+    bed.site.table.injector().set(Faults::default());
     assert!(is_whole(&bed.caller(0).send(notice("down", "x")).await));
 }
 
@@ -336,7 +336,7 @@
     until("the cancel", || engine.open_requests() == 0).await;
 
     let plain = bed.plains().remove(0);
-    plain.gate().set(Faults {
+    plain.injector().set(Faults {
         delay_ms: 300,
         ..Faults::default()
     });
@@ -362,7 +362,7 @@
             == 2
     };
     until("the kept answer", answered).await;
-    plain.gate().set(Faults::default());
+    plain.injector().set(Faults::default());
     let repeat = bed.caller(1).send(notice("gone", "x")).await;
     assert_eq!(repeat.got, Got::Whole { kept: true });
     assert_eq!(bed.runs_of("gone"), 1);
--- a/crates/arbutusquay/tests/stopping.rs
+++ b/crates/arbutusquay/tests/stopping.rs
@@ -13,26 +13,26 @@
 /// The shipped binary.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 /// Time of one token.
-const STEP: Duration = Duration::from_millis(20);
+const STEP_TIME: Duration = Duration::from_millis(20);
 /// Tokens of a stream that lasts longer than any stop here.
-const LONG: u32 = 1200;
+const LONG_STREAM_TOKENS: u32 = 1200;
 /// Time of a plain call that lasts longer than any stop here.
-const LONG_CALL: Duration = Duration::from_secs(12);
+const LONG_CALL_TIME: Duration = Duration::from_secs(12);
 /// Tokens from which an agent learns how long one takes.
-const LEARN: u32 = 20;
+const WARM_UP_TOKENS: u32 = 20;
 
 /// A site whose processes stop within `linger` and a drain bound of 2 s.
 async fn slow_bed(workers: usize, linger: &str) -> Bed {
     bed_with(BINARY, workers, |o| {
-        o.rates.step = STEP;
-        o.plain_work = LONG_CALL;
+        o.rates.step_time = STEP_TIME;
+        o.plain_work = LONG_CALL_TIME;
         let limits = o.limits.replace("linger: 100ms", linger);
         o.limits = limits.replace('}', ", drain_bound: 2s}");
     })
     .await
 }
 
-async fn not_ready(admin: SocketAddr) {
+async fn wait_until_not_ready(admin: SocketAddr) {
     let pool = net::Pool::new(admin, Duration::from_secs(5));
     loop {
         let req = hyper::Request::builder().uri("/health").header("host", "t");
@@ -52,7 +52,7 @@
 }
 
 /// The log lines of a process about one event.
-fn lines(bed: &Bed, process: &str, event: &str) -> Vec<serde_json::Value> {
+fn log_lines(bed: &Bed, process: &str, event: &str) -> Vec<serde_json::Value> {
     let log = bed.site.dir().join(format!("{process}.log"));
     let text = std::fs::read_to_string(log).unwrap();
     let parse = |l| serde_json::from_str::<serde_json::Value>(l).ok();
@@ -63,45 +63,50 @@
 /// Starts a stream and waits until an engine runs it.
 async fn long_stream(bed: &Bed, entry: usize) -> tokio::task::JoinHandle<Sent> {
     let caller = bed.caller(entry);
-    let task = tokio::spawn(async move { caller.send(reply("long", LONG)).await });
+    let task = tokio::spawn(async move { caller.send(reply("long", LONG_STREAM_TOKENS)).await });
     let runs = || bed.engines().iter().any(|e| e.open_requests() > 0);
     until("the stream", runs).await;
     task
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_entry_refuses_what_it_can_t_end_and_answers_the_rest() {
+async fn a_stopping_entry_refuses_requests_that_would_outlast_it_and_serves_the_rest() {
     let mut bed = slow_bed(1, "linger: 6s").await;
-    assert!(is_whole(&bed.caller(0).send(reply("learn", LEARN)).await));
+    assert!(is_whole(
+        &bed.caller(0).send(reply("learn", WARM_UP_TOKENS)).await
+    ));
     bed.site.entries[0].process.signal(Signal::Term);
-    not_ready(admin_of(bed.site.entries[0].addr)).await;
-    let long = bed.caller(0).send(reply("long", LONG)).await;
+    wait_until_not_ready(admin_of(bed.site.entries[0].addr)).await;
+    let long = bed.caller(0).send(reply("long", LONG_STREAM_TOKENS)).await;
     let short = bed.caller(0).send(reply("short", 3)).await;
     assert_eq!(refused(&long), (Outcome::NotRun, "leaving"));
     assert!(is_whole(&short), "{:?}", short.got);
     assert!(bed.site.entries[0].process.ended().await.unwrap().success());
-    let told = lines(&bed, "entry-1", "request");
-    let line = told.iter().find(|l| l["reason"] == "leaving").unwrap();
+    let requests = log_lines(&bed, "entry-1", "request");
+    let line = requests.iter().find(|l| l["reason"] == "leaving").unwrap();
     assert!(line["stopping_ms"].is_u64(), "{line}");
-    assert!(told[0]["stopping_ms"].is_null(), "{}", told[0]);
+    assert!(requests[0]["stopping_ms"].is_null(), "{}", requests[0]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_outlasts_its_entry_ends_with_a_reason_of_its_own() {
+async fn a_stream_that_outlasts_its_entry_ends_with_process_ends() {
     let mut bed = slow_bed(1, "linger: 100ms").await;
     let stream = long_stream(&bed, 0).await;
     bed.site.entries[0].process.signal(Signal::Term);
     let sent = stream.await.unwrap();
     assert_eq!(refused(&sent), (Outcome::Unknown, "process-ends"));
     assert!(bed.site.entries[0].process.ended().await.unwrap().success());
-    let told = lines(&bed, "entry-1", "request");
-    let line = told.iter().find(|l| l["reason"] == "process-ends").unwrap();
+    let requests = log_lines(&bed, "entry-1", "request");
+    let line = requests
+        .iter()
+        .find(|l| l["reason"] == "process-ends")
+        .unwrap();
     assert!(line["stopping_ms"].is_null(), "{line}");
-    assert_eq!(lines(&bed, "entry-1", "stopped")[0]["unfinished"], 1);
+    assert_eq!(log_lines(&bed, "entry-1", "stopped")[0]["unfinished"], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_outlasts_its_agent_is_unknown_for_a_reason_of_its_own() {
+async fn a_call_that_outlasts_its_agent_is_unknown_with_process_ends() {
     let bed = slow_bed(1, "linger: 100ms").await;
     let caller = bed.caller(0);
     let call = tokio::spawn(async move { caller.send(notice("k", "x")).await });
@@ -114,7 +119,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_outlasts_its_agent_goes_on_elsewhere() {
+async fn a_stream_that_outlasts_its_agent_resumes_elsewhere() {
     let mut bed = slow_bed(2, "linger: 100ms").await;
     let stream = long_stream(&bed, 0).await;
     let at = usize::from(bed.engine(0).open_requests() == 0);
@@ -125,7 +130,7 @@
 
 /// As all agents are restarted one after the other, on a small fleet back to the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_outlasts_agents_in_turn_goes_back_to_a_restarted_one() {
+async fn a_stream_that_outlasts_each_agent_in_turn_returns_to_a_restarted_one() {
     let mut bed = slow_bed(2, "linger: 100ms").await;
     let stream = long_stream(&bed, 0).await;
     let first = usize::from(bed.engine(0).open_requests() == 0);
@@ -141,10 +146,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_signal_but_a_kill_cuts_off_a_stream() {
+async fn no_signal_but_a_kill_aborts_a_stream() {
     let mut bed = slow_bed(1, "linger: 100ms").await;
     let caller = bed.caller(0);
-    let stream = tokio::spawn(async move { caller.send(reply("short", LEARN)).await });
+    let stream = tokio::spawn(async move { caller.send(reply("short", WARM_UP_TOKENS)).await });
     let runs = || bed.engine(0).open_requests() > 0;
     until("the stream", runs).await;
     let entry = &mut bed.site.entries[0].process;
@@ -159,7 +164,7 @@
 
 /// A request that is sent on a kept connection just as the server ends gets no answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_entry_asks_callers_to_leave_its_connections() {
+async fn a_stopping_entry_asks_callers_to_close_their_connections() {
     let bed = slow_bed(1, "linger: 5s").await;
     let addr = bed.site.entries[0].addr;
     let pool = net::Pool::new(addr, Duration::from_secs(5));
@@ -170,12 +175,12 @@
     };
     assert_eq!(answer().await, None);
     bed.site.entries[0].process.signal(Signal::Term);
-    not_ready(admin_of(addr)).await;
+    wait_until_not_ready(admin_of(addr)).await;
     assert_eq!(answer().await.unwrap(), "close");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_body_never_comes_is_answered_before_the_end() {
+async fn a_request_whose_body_never_arrives_is_answered_before_the_process_exits() {
     let mut bed = bed_with(BINARY, 1, |o| {
         let limits = o.limits.replace("read_timeout: 2s", "read_timeout: 30s");
         o.limits = limits.replace('}', ", drain_bound: 2s}");
@@ -199,5 +204,5 @@
     assert!(answer.contains("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("process-ends"), "{answer}");
     assert!(bed.site.entries[0].process.ended().await.unwrap().success());
-    assert_eq!(lines(&bed, "entry-1", "stopped")[0]["unfinished"], 1);
+    assert_eq!(log_lines(&bed, "entry-1", "stopped")[0]["unfinished"], 1);
 }
--- a/crates/bench/src/bed.rs
+++ b/crates/bench/src/bed.rs
@@ -5,8 +5,8 @@
 use crate::deploy::{Deployment, free_net};
 use crate::mix::{Ask, What};
 use crate::site::{Options, Site, UpstreamStandin, Worker};
-use fakes::engine::{EngineStandin, Rates};
-use fakes::plain::PlainStandin;
+use fakes::engine::{FakeEngine, Rates};
+use fakes::plain::FakePlainService;
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -42,8 +42,8 @@
     options.workers = workers;
     let step = Duration::from_millis(2);
     options.rates = Rates {
-        step,
-        change: Duration::from_millis(50),
+        step_time: step,
+        change_time: Duration::from_millis(50),
         ..options.rates
     };
     options.host_lag = Duration::from_millis(10);
@@ -64,7 +64,7 @@
     }
 
     /// The engine of a worker.
-    pub fn engine(&self, at: usize) -> Arc<EngineStandin> {
+    pub fn engine(&self, at: usize) -> Arc<FakeEngine> {
         match &self.site.workers[at].standin {
             UpstreamStandin::Engine(e) => e.clone(),
             UpstreamStandin::Plain(_) => panic!("worker {at} is plain"),
@@ -72,7 +72,7 @@
     }
 
     /// All engines.
-    pub fn engines(&self) -> Vec<Arc<EngineStandin>> {
+    pub fn engines(&self) -> Vec<Arc<FakeEngine>> {
         let engine = |w: &Worker| match &w.standin {
             UpstreamStandin::Engine(e) => Some(e.clone()),
             UpstreamStandin::Plain(_) => None,
@@ -81,7 +81,7 @@
     }
 
     /// All plain services.
-    pub fn plains(&self) -> Vec<Arc<PlainStandin>> {
+    pub fn plains(&self) -> Vec<Arc<FakePlainService>> {
         let plain = |w: &Worker| match &w.standin {
             UpstreamStandin::Engine(_) => None,
             UpstreamStandin::Plain(p) => Some(p.clone()),
@@ -91,7 +91,7 @@
 
     /// Runs of all plain services with a key.
     pub fn runs_of(&self, key: &str) -> usize {
-        let runs = |p: Arc<PlainStandin>| p.history().iter().filter(|r| r.key == key).count();
+        let runs = |p: Arc<FakePlainService>| p.history().iter().filter(|r| r.key == key).count();
         self.plains().into_iter().map(runs).sum()
     }
 }
--- a/crates/bench/src/driver.rs
+++ b/crates/bench/src/driver.rs
@@ -7,7 +7,7 @@
 use crate::site::{Site, UpstreamStandin};
 use fakes::Faults;
 use fakes::clock::now_ms;
-use fakes::serve::Standin;
+use fakes::serve::FakeServer;
 use std::io;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -96,9 +96,9 @@
                 let host = self.site.workers[*at].upstream.host.clone();
                 self.site.hosts.set(&host, HostState::Leaving);
             }
-            Fault::Table(f) => self.site.table.gate().set(f.clone()),
-            Fault::Objects(f) => self.site.objects.gate().set(f.clone()),
-            Fault::Hosts(f) => self.site.hosts.gate().set(f.clone()),
+            Fault::Table(f) => self.site.table.injector().set(f.clone()),
+            Fault::Objects(f) => self.site.objects.injector().set(f.clone()),
+            Fault::Hosts(f) => self.site.hosts.injector().set(f.clone()),
             Fault::Upstream(at, f) => self.upstream(*at, f.clone()),
             Fault::Edit(at) => self.edit(*at),
         }
@@ -128,9 +128,9 @@
                 self.stopping.push(fault.clone());
                 return Ok(());
             }
-            Fault::Table(_) => self.site.table.gate().set(Faults::default()),
-            Fault::Objects(_) => self.site.objects.gate().set(Faults::default()),
-            Fault::Hosts(_) => self.site.hosts.gate().set(Faults::default()),
+            Fault::Table(_) => self.site.table.injector().set(Faults::default()),
+            Fault::Objects(_) => self.site.objects.injector().set(Faults::default()),
+            Fault::Hosts(_) => self.site.hosts.injector().set(Faults::default()),
             Fault::Upstream(at, _) => self.upstream(*at, Faults::default()),
             Fault::Edit(_) => {}
         }
@@ -186,8 +186,8 @@
 
     fn upstream(&self, at: usize, faults: Faults) {
         match &self.site.workers[at].standin {
-            UpstreamStandin::Engine(e) => e.gate().set(faults),
-            UpstreamStandin::Plain(p) => p.gate().set(faults),
+            UpstreamStandin::Engine(e) => e.injector().set(faults),
+            UpstreamStandin::Plain(p) => p.injector().set(faults),
         }
     }
 
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -141,7 +141,7 @@
     // Half of the runs have engines that ignore fencing numbers.
     let fencing = seed.is_multiple_of(2);
     options.rates = Rates {
-        step: Duration::from_millis(5),
+        step_time: Duration::from_millis(5),
         prefill_per_step: 2_000,
         fencing,
         ..options.rates
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -157,7 +157,7 @@
     options.entries = 1;
     let step = Duration::from_millis(o.step_ms);
     options.rates = Rates {
-        step,
+        step_time: step,
         prefill_per_step: 100_000,
         ..options.rates
     };
--- a/crates/bench/src/outage.rs
+++ b/crates/bench/src/outage.rs
@@ -9,7 +9,7 @@
 use crate::site::{Options, Site};
 use fakes::Faults;
 use fakes::clock::now_ms;
-use fakes::serve::Standin;
+use fakes::serve::FakeServer;
 use serde::Serialize;
 use std::io;
 use std::time::Duration;
@@ -66,11 +66,11 @@
         ..Faults::default()
     };
     measured.before = part(&site, around, 1).await?;
-    site.table.gate().set(down.clone());
-    site.objects.gate().set(down);
+    site.table.injector().set(down.clone());
+    site.objects.injector().set(down);
     measured.during = part(&site, Duration::from_secs(seconds), 2).await?;
-    site.table.gate().set(Faults::default());
-    site.objects.gate().set(Faults::default());
+    site.table.injector().set(Faults::default());
+    site.objects.injector().set(Faults::default());
     measured.after = part(&site, around, 3).await?;
     site.stop().await?;
     let sent = [&measured.before, &measured.during, &measured.after];
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -12,12 +12,12 @@
 use crate::procs::{Output, Proc, command};
 use crate::relay::Relay;
 use conf::{Doc, Upstream};
-use fakes::Running;
-use fakes::engine::EngineStandin;
-use fakes::hosts::HostsStandin;
-use fakes::objects::ObjectsStandin;
-use fakes::plain::PlainStandin;
-use fakes::table::TableStandin;
+use fakes::RunningServer;
+use fakes::engine::FakeEngine;
+use fakes::hosts::FakeHostList;
+use fakes::objects::FakeObjectStore;
+use fakes::plain::FakePlainService;
+use fakes::table::FakeTable;
 use hyper::{Method, Request};
 use net::{Pool, empty};
 use std::io;
@@ -39,9 +39,9 @@
 #[derive(Debug)]
 pub enum UpstreamStandin {
     /// A model engine.
-    Engine(Arc<EngineStandin>),
+    Engine(Arc<FakeEngine>),
     /// A plain service.
-    Plain(Arc<PlainStandin>),
+    Plain(Arc<FakePlainService>),
 }
 
 /// An upstream with its agent.
@@ -60,7 +60,7 @@
     /// What stands between the entries and the agent, if anything does.
     pub relay: Option<Relay>,
     settings: PathBuf,
-    _running: Running,
+    _running: RunningServer,
 }
 
 /// An entry.
@@ -81,18 +81,18 @@
     /// Its documents.
     pub docs: Vec<Doc>,
     /// The table service.
-    pub table: Arc<TableStandin>,
+    pub table: Arc<FakeTable>,
     /// The object store.
-    pub objects: Arc<ObjectsStandin>,
+    pub objects: Arc<FakeObjectStore>,
     /// The host list.
-    pub hosts: Arc<HostsStandin>,
+    pub hosts: Arc<FakeHostList>,
     /// The upstreams with their agents.
     pub workers: Vec<Worker>,
     /// The entries.
     pub entries: Vec<EntryProc>,
     options: Options,
     dir: PathBuf,
-    _running: Vec<Running>,
+    _running: Vec<RunningServer>,
 }
 
 impl Drop for Site {
@@ -113,9 +113,9 @@
         let net = options.net;
         let dir = std::env::temp_dir().join(format!("arbutusquay-{}-{net}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
-        let table = Arc::<TableStandin>::default();
-        let objects = Arc::<ObjectsStandin>::default();
-        let hosts = Arc::new(HostsStandin::new(options.host_lag));
+        let table = Arc::<FakeTable>::default();
+        let objects = Arc::<FakeObjectStore>::default();
+        let hosts = Arc::new(FakeHostList::new(options.host_lag));
         let running = vec![
             fakes::start(table_addr(net), table.clone()).await?,
             fakes::start(objects_addr(net), objects.clone()).await?,
@@ -223,13 +223,13 @@
     async fn start_worker(&self, doc: &Doc, upstream: &Upstream) -> io::Result<Worker> {
         let addr = upstream_of(upstream.agent);
         let (standin, running) = if doc.is_engine() {
-            let engine = EngineStandin::new(self.options.rates.clone());
+            let engine = FakeEngine::new(self.options.rates.clone());
             (
                 UpstreamStandin::Engine(engine.clone()),
                 fakes::start(addr, engine).await?,
             )
         } else {
-            let plain = Arc::new(PlainStandin::new(self.options.plain_work));
+            let plain = Arc::new(FakePlainService::new(self.options.plain_work));
             (
                 UpstreamStandin::Plain(plain.clone()),
                 fakes::start(addr, plain).await?,
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -157,7 +157,7 @@
     options.documents = Some(texts);
     options.limits = LIMITS.to_owned();
     options.rates = Rates {
-        step: Duration::from_millis(2),
+        step_time: Duration::from_millis(2),
         prefill_per_step: 100_000,
         ..options.rates
     };
--- a/crates/engine/tests/client.rs
+++ b/crates/engine/tests/client.rs
@@ -5,20 +5,20 @@
 use engine::sse::EventReader;
 use engine::{Client, EngineError, Order, OrderAnswer};
 use fakes::answer;
-use fakes::engine::{EngineStandin, Rates};
-use fakes::serve::Standin;
-use fakes::{Faults, Running, start};
+use fakes::engine::{FakeEngine, Rates};
+use fakes::serve::FakeServer;
+use fakes::{Faults, RunningServer, start};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use wire::{Model, Role};
 
-async fn bed(fencing: bool) -> (Arc<EngineStandin>, Client, Running) {
+async fn bed(fencing: bool) -> (Arc<FakeEngine>, Client, RunningServer) {
     let step = Duration::from_millis(1);
     let change = Duration::from_millis(20);
-    let standin = EngineStandin::new(Rates {
-        step,
-        change,
+    let standin = FakeEngine::new(Rates {
+        step_time: step,
+        change_time: change,
         fencing,
         ..Rates::default()
     });
@@ -87,7 +87,7 @@
     let (standin, client, _running) = bed(true).await;
     load(&client, 1).await;
     let one = |f: Faults| {
-        standin.gate().set(f);
+        standin.injector().set(f);
         let client = client.clone();
         async move {
             // A neighbour, so that there is somebody to be crossed with.
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -10,8 +10,8 @@
 mod cache;
 mod orders;
 
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json, status};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json, status};
 use batch::Batch;
 use cache::PrefixCache;
 use engine::dialect::{
@@ -29,17 +29,17 @@
 #[derive(Debug, Clone)]
 pub struct Rates {
     /// Time of one decode step.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Prompt tokens read in one step, over all requests.
     pub prefill_per_step: u32,
     /// Requests that run at once.
-    pub batch: usize,
+    pub max_running: usize,
     /// Prefixes that the cache holds.
-    pub cache: usize,
+    pub cache_capacity: usize,
     /// Time that a change of role or model takes.
-    pub change: Duration,
+    pub change_time: Duration,
     /// Lag of load reports and cache events.
-    pub lag: Duration,
+    pub report_lag: Duration,
     /// Whether old fencing numbers are refused.
     pub fencing: bool,
 }
@@ -47,12 +47,12 @@
 impl Default for Rates {
     fn default() -> Self {
         Self {
-            step: Duration::from_millis(10),
+            step_time: Duration::from_millis(10),
             prefill_per_step: 200,
-            batch: 32,
-            cache: 4096,
-            change: Duration::from_millis(300),
-            lag: Duration::from_millis(500),
+            max_running: 32,
+            cache_capacity: 4096,
+            change_time: Duration::from_millis(300),
+            report_lag: Duration::from_millis(500),
             fencing: true,
         }
     }
@@ -63,11 +63,11 @@
 
 /// The stand-in.
 #[derive(Debug)]
-pub struct EngineStandin {
-    gate: FaultGate,
+pub struct FakeEngine {
+    injector: FaultInjector,
     rates: Rates,
     inner: Mutex<Inner>,
-    work: tokio::sync::Notify,
+    work_arrived: tokio::sync::Notify,
 }
 
 #[derive(Debug)]
@@ -77,21 +77,21 @@
     orders: Orders,
 }
 
-impl EngineStandin {
+impl FakeEngine {
     /// An engine with nothing loaded. Its steps run until it is dropped.
     pub fn new(rates: Rates) -> Arc<Self> {
         let inner = Inner {
-            batch: Batch::new(rates.batch, rates.lag),
-            cache: PrefixCache::new(rates.cache, rates.lag),
-            orders: Orders::new(rates.fencing, rates.change),
+            batch: Batch::new(rates.max_running, rates.report_lag),
+            cache: PrefixCache::new(rates.cache_capacity, rates.report_lag),
+            orders: Orders::new(rates.fencing, rates.change_time),
         };
         let this = Arc::new(Self {
-            gate: FaultGate::default(),
+            injector: FaultInjector::default(),
             rates,
             inner: Mutex::new(inner),
-            work: tokio::sync::Notify::new(),
+            work_arrived: tokio::sync::Notify::new(),
         });
-        tokio::spawn(Self::steps(Arc::downgrade(&this)));
+        tokio::spawn(Self::run_steps(Arc::downgrade(&this)));
         this
     }
 
@@ -102,26 +102,26 @@
 
     /// Requests that wait or run now.
     pub fn open_requests(&self) -> usize {
-        self.lock().batch.open()
+        self.lock().batch.open_requests()
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panic while locked")
     }
 
-    async fn steps(this: std::sync::Weak<Self>) {
-        let Some(step) = this.upgrade().map(|e| e.rates.step) else {
+    async fn run_steps(this: std::sync::Weak<Self>) {
+        let Some(step) = this.upgrade().map(|e| e.rates.step_time) else {
             return;
         };
-        let mut clock = tokio::time::interval(step);
-        clock.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut interval = tokio::time::interval(step);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            clock.tick().await;
+            interval.tick().await;
             let Some(engine) = this.upgrade() else { return };
             engine.step();
             if engine.lock().batch.is_idle() {
                 // A bounded wait, so that a dropped engine's task ends.
-                let _ = tokio::time::timeout(IDLE_LOOK, engine.work.notified()).await;
+                let _ = tokio::time::timeout(IDLE_WAIT, engine.work_arrived.notified()).await;
             }
         }
     }
@@ -129,7 +129,7 @@
     fn step(&self) {
         let mut inner = self.lock();
         let Inner { batch, cache, .. } = &mut *inner;
-        batch.step(self.rates.prefill_per_step, cache, &self.gate);
+        batch.step(self.rates.prefill_per_step, cache, &self.injector);
     }
 
     fn complete(&self, call: &Call) -> Response<Body> {
@@ -145,10 +145,10 @@
             cache,
             orders,
         } = &mut *inner;
-        orders.note_run(&body.request_id);
+        orders.record_run(&body.request_id);
         let answer = batch.add(body, cache);
         drop(inner);
-        self.work.notify_one();
+        self.work_arrived.notify_one();
         answer
     }
 
@@ -156,24 +156,24 @@
         let Some(order) = call.json() else {
             return status(StatusCode::BAD_REQUEST);
         };
-        let crash = self.gate.use_up(|f| &mut f.crash_in_order);
+        let crash = self.injector.consume(|f| &mut f.crash_in_order);
         let mut inner = self.lock();
         let Inner {
             batch,
             cache,
             orders,
         } = &mut *inner;
-        let answer = orders.take(&order, batch, cache, crash);
+        let answer = orders.apply(&order, batch, cache, crash);
         json(&answer)
     }
 }
 
 /// Longest that an idle engine sleeps.
-const IDLE_LOOK: Duration = Duration::from_secs(1);
+const IDLE_WAIT: Duration = Duration::from_secs(1);
 
-impl Standin for EngineStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakeEngine {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
--- a/crates/fakes/src/engine/batch.rs
+++ b/crates/fakes/src/engine/batch.rs
@@ -3,7 +3,7 @@
 use super::BYTES_PER_TOKEN;
 use super::cache::PrefixCache;
 use crate::answer::token_of;
-use crate::fault::FaultGate;
+use crate::fault::FaultInjector;
 use bytes::Bytes;
 use engine::dialect::{Choice, Chunk, CompletionBody, Load, Usage};
 use hyper::Response;
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Chunks that a reader may be behind before its request waits.
-const READER_SLACK: usize = 256;
+const CHUNK_BUFFER: usize = 256;
 
 #[derive(Debug)]
 struct Seq {
@@ -22,8 +22,8 @@
     prompt_hash: u64,
     prefixes: Vec<u64>,
     prefill_left: u32,
-    next: u32,
-    max: u32,
+    next_index: u32,
+    max_tokens: u32,
     priority: u32,
     out: BodySender,
 }
@@ -31,24 +31,24 @@
 /// Requests of one engine.
 #[derive(Debug)]
 pub struct Batch {
-    room: usize,
+    capacity: usize,
     lag: Duration,
     waiting: Vec<Seq>,
     running: Vec<Seq>,
     reports: VecDeque<(Instant, Load)>,
-    cut: u64,
+    aborted: u64,
 }
 
 impl Batch {
     /// A batch with room for so many requests, whose load reports are `lag` old.
-    pub fn new(room: usize, lag: Duration) -> Self {
+    pub fn new(capacity: usize, lag: Duration) -> Self {
         Self {
-            room,
+            capacity,
             lag,
             waiting: Vec::new(),
             running: Vec::new(),
             reports: VecDeque::new(),
-            cut: 0,
+            aborted: 0,
         }
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Requests whose reader is still there.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.waiting
             .iter()
             .chain(&self.running)
@@ -68,15 +68,15 @@
 
     /// Takes a request in and gives its stream.
     pub fn add(&mut self, body: CompletionBody, cache: &PrefixCache) -> Response<Body> {
-        let (out, answer) = stream(READER_SLACK);
+        let (out, answer) = stream(CHUNK_BUFFER);
         let prefixes = prefix::hashes(body.prompt.as_bytes());
         let cold = body.prompt.len() - cache.cached(&prefixes);
         let seq = Seq {
             prompt_hash: xxh3_64(body.prompt.as_bytes()),
             prefixes,
             prefill_left: (cold / BYTES_PER_TOKEN).max(1) as u32 + body.resume_from,
-            next: body.resume_from,
-            max: body.max_tokens,
+            next_index: body.resume_from,
+            max_tokens: body.max_tokens,
             priority: body.priority,
             id: body.request_id,
             out,
@@ -95,24 +95,24 @@
     /// Breaks off everything, as a change or crash does. Gives how many ran.
     pub fn abort(&mut self) -> u64 {
         let open = |seqs: &[Seq]| seqs.iter().filter(|s| !s.out.is_closed()).count() as u64;
-        let cut = open(&self.waiting) + open(&self.running);
+        let aborted = open(&self.waiting) + open(&self.running);
         self.waiting.clear();
         self.running.clear();
-        self.cut += cut;
-        cut
+        self.aborted += aborted;
+        aborted
     }
 
     /// One step: reads prompts within the budget, then a token for each request
     /// whose prompt was read.
-    pub fn step(&mut self, prefill: u32, cache: &mut PrefixCache, gate: &FaultGate) {
-        self.note_load();
+    pub fn step(&mut self, prefill: u32, cache: &mut PrefixCache, injector: &FaultInjector) {
+        self.record_load();
         self.waiting.retain(|s| !s.out.is_closed());
         self.running.retain(|s| !s.out.is_closed());
-        while self.running.len() < self.room && !self.waiting.is_empty() {
+        while self.running.len() < self.capacity && !self.waiting.is_empty() {
             self.running.push(self.waiting.remove(0));
         }
         self.prefill(prefill, cache);
-        self.decode(gate);
+        self.decode(injector);
     }
 
     fn prefill(&mut self, mut budget: u32, cache: &mut PrefixCache) {
@@ -132,7 +132,7 @@
         }
     }
 
-    fn decode(&mut self, gate: &FaultGate) {
+    fn decode(&mut self, injector: &FaultInjector) {
         let other = self
             .running
             .first()
@@ -140,7 +140,7 @@
             .unwrap_or_default();
         let mut i = 0;
         while i < self.running.len() {
-            match emit(&mut self.running[i], gate, &other) {
+            match emit(&mut self.running[i], injector, &other) {
                 Emitted::More => i += 1,
                 Emitted::Last => self.running.swap_remove(i).out.try_finish(),
                 Emitted::Broken => drop(self.running.swap_remove(i)),
@@ -148,7 +148,7 @@
         }
     }
 
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let now = Instant::now();
         let prefill = |s: &Seq| u64::from(s.prefill_left);
         let load = Load {
@@ -176,15 +176,15 @@
     Broken,
 }
 
-fn emit(seq: &mut Seq, gate: &FaultGate, other: &str) -> Emitted {
+fn emit(seq: &mut Seq, injector: &FaultInjector, other: &str) -> Emitted {
     if seq.prefill_left > 0 {
         return Emitted::More;
     }
-    if seq.next > 0 && gate.use_up(|f| &mut f.break_streams) {
+    if seq.next_index > 0 && injector.consume(|f| &mut f.break_streams) {
         return Emitted::Broken;
     }
-    let last = seq.next + 1 >= seq.max;
-    let crossed = other != seq.id && gate.use_up(|f| &mut f.cross_chunks);
+    let last = seq.next_index + 1 >= seq.max_tokens;
+    let crossed = other != seq.id && injector.consume(|f| &mut f.cross_chunks);
     let chunk = Chunk {
         id: if crossed {
             other.to_owned()
@@ -192,24 +192,24 @@
             seq.id.clone()
         },
         choices: vec![Choice {
-            text: token_of(seq.prompt_hash, seq.next),
+            text: token_of(seq.prompt_hash, seq.next_index),
             finish_reason: last.then(|| "length".to_owned()),
         }],
         usage: Usage {
-            completion_tokens: seq.next + 1,
+            completion_tokens: seq.next_index + 1,
         },
     };
     let mut text = serde_json::to_string(&chunk).expect("chunks always encode");
     text = format!("data: {text}\n\n");
-    let doubled = gate.use_up(|f| &mut f.double_chunks);
-    if doubled || (last && gate.use_up(|f| &mut f.double_last)) {
+    let doubled = injector.consume(|f| &mut f.double_chunks);
+    if doubled || (last && injector.consume(|f| &mut f.double_last)) {
         text = text.repeat(2);
     }
     if last {
         text.push_str("data: [DONE]\n\n");
     }
     match seq.out.try_send(Bytes::from(text)) {
-        Ok(true) => seq.next += 1,
+        Ok(true) => seq.next_index += 1,
         // The reader is behind: the same token again in the next step.
         Ok(false) => return Emitted::More,
         Err(_) => return Emitted::Broken,
--- a/crates/fakes/src/engine/cache.rs
+++ b/crates/fakes/src/engine/cache.rs
@@ -13,59 +13,59 @@
 /// Prefixes by hash, least recently used first.
 #[derive(Debug)]
 pub struct PrefixCache {
-    room: usize,
+    capacity: usize,
     lag: Duration,
-    held: VecDeque<u64>,
-    last: u64,
+    prefixes: VecDeque<u64>,
+    last_number: u64,
     events: VecDeque<(Instant, CacheEvent)>,
 }
 
 impl PrefixCache {
     /// A cache with room for so many prefixes, whose events come `lag` late.
-    pub fn new(room: usize, lag: Duration) -> Self {
+    pub fn new(capacity: usize, lag: Duration) -> Self {
         Self {
-            room,
+            capacity,
             lag,
-            held: VecDeque::new(),
-            last: 0,
+            prefixes: VecDeque::new(),
+            last_number: 0,
             events: VecDeque::new(),
         }
     }
 
     /// Bytes at the prompt's beginning that are cached.
     pub fn cached(&self, hashes: &[u64]) -> usize {
-        let longest = hashes.iter().rposition(|h| self.held.contains(h));
+        let longest = hashes.iter().rposition(|h| self.prefixes.contains(h));
         longest.map_or(0, prefix::length_at)
     }
 
     /// Takes a prompt's prefixes in.
     pub fn add(&mut self, hashes: &[u64]) {
         for &h in hashes {
-            if let Some(at) = self.held.iter().position(|x| *x == h) {
-                self.held.remove(at);
+            if let Some(at) = self.prefixes.iter().position(|x| *x == h) {
+                self.prefixes.remove(at);
             } else {
-                self.note(h, true);
+                self.record(h, true);
             }
-            self.held.push_back(h);
-            if self.held.len() > self.room
-                && let Some(old) = self.held.pop_front()
+            self.prefixes.push_back(h);
+            if self.prefixes.len() > self.capacity
+                && let Some(old) = self.prefixes.pop_front()
             {
-                self.note(old, false);
+                self.record(old, false);
             }
         }
     }
 
     /// Forgets everything.
     pub fn clear(&mut self) {
-        for h in std::mem::take(&mut self.held) {
-            self.note(h, false);
+        for h in std::mem::take(&mut self.prefixes) {
+            self.record(h, false);
         }
     }
 
-    fn note(&mut self, prefix: u64, added: bool) {
-        self.last += 1;
+    fn record(&mut self, prefix: u64, added: bool) {
+        self.last_number += 1;
         let event = CacheEvent {
-            number: self.last,
+            number: self.last_number,
             prefix,
             added,
         };
@@ -93,7 +93,7 @@
         KvBlob {
             prefixes: hashes
                 .into_iter()
-                .filter(|h| self.held.contains(h))
+                .filter(|h| self.prefixes.contains(h))
                 .collect(),
         }
     }
--- a/crates/fakes/src/engine/orders.rs
+++ b/crates/fakes/src/engine/orders.rs
@@ -50,15 +50,15 @@
 #[derive(Debug)]
 pub struct Orders {
     fencing: bool,
-    change: Duration,
+    change_time: Duration,
     state: EngineState,
-    until: Option<(Instant, Order)>,
+    pending: Option<(Instant, Order)>,
     history: EngineHistory,
 }
 
 impl Orders {
     /// An engine with nothing loaded.
-    pub fn new(fencing: bool, change: Duration) -> Self {
+    pub fn new(fencing: bool, change_time: Duration) -> Self {
         let state = EngineState {
             role: Role::Mixed,
             model: None,
@@ -68,22 +68,22 @@
         };
         Self {
             fencing,
-            change,
+            change_time,
             state,
-            until: None,
+            pending: None,
             history: EngineHistory::default(),
         }
     }
 
     /// The state, once a change whose time has come is done.
     pub fn state(&mut self) -> EngineState {
-        if let Some((at, order)) = &self.until
+        if let Some((at, order)) = &self.pending
             && Instant::now() >= *at
         {
             self.state.role = order.role;
             self.state.model = Some(order.model.clone());
             self.state.changing = false;
-            self.until = None;
+            self.pending = None;
         }
         self.state.clone()
     }
@@ -100,7 +100,7 @@
     }
 
     /// Notes a completion that was taken.
-    pub fn note_run(&mut self, id: &str) {
+    pub fn record_run(&mut self, id: &str) {
         if self.history.runs.len() < MAX_HISTORY {
             self.history.runs.push(EngineRun {
                 id: id.to_owned(),
@@ -110,7 +110,7 @@
     }
 
     /// Takes an order.
-    pub fn take(
+    pub fn apply(
         &mut self,
         order: &Order,
         batch: &mut Batch,
@@ -119,17 +119,17 @@
     ) -> OrderAnswer {
         let state = self.state();
         let repeated = order.fence == state.fence;
-        if repeated && self.until.as_ref().is_some_and(|(_, o)| o == order) {
+        if repeated && self.pending.as_ref().is_some_and(|(_, o)| o == order) {
             return OrderAnswer::Taken;
         }
         let stale = order.fence < state.fence;
         if stale && self.fencing {
-            self.note(order, OrderAnswer::Stale, false, false, 0);
+            self.record(order, OrderAnswer::Stale, false, false, 0);
             return OrderAnswer::Stale;
         }
-        let conflicting = self.until.as_ref().is_some_and(|(_, o)| o != order);
+        let conflicting = self.pending.as_ref().is_some_and(|(_, o)| o != order);
         let cut = batch.abort();
-        self.note(order, OrderAnswer::Taken, conflicting, stale, cut);
+        self.record(order, OrderAnswer::Taken, conflicting, stale, cut);
         self.state.fence = order.fence;
         if crash {
             self.crash(cache);
@@ -139,21 +139,21 @@
             cache.clear();
         }
         self.state.changing = true;
-        self.until = Some((Instant::now() + self.change, order.clone()));
+        self.pending = Some((Instant::now() + self.change_time, order.clone()));
         OrderAnswer::Taken
     }
 
     /// The engine starts anew with nothing loaded; its orders' history stays.
     fn crash(&mut self, cache: &mut PrefixCache) {
         cache.clear();
-        self.until = None;
+        self.pending = None;
         self.state.changing = false;
         self.state.model = None;
         self.state.fence = 0;
         self.state.incarnation += 1;
     }
 
-    fn note(
+    fn record(
         &mut self,
         order: &Order,
         answer: OrderAnswer,
--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -34,22 +34,22 @@
     /// The next order breaks the engine in the middle of the change.
     pub crash_in_order: u32,
     /// A call whose body has this text crashes the stand-in: it gets no answer, and for
-    /// [`CRASHED`] no connection is taken. Empty means none.
+    /// [`CRASH_DOWNTIME`] no connection is taken. Empty means none.
     pub crash_about: String,
 }
 
 /// How long a stand-in that crashed takes no connection.
-pub const CRASHED: Duration = Duration::from_millis(600);
+pub const CRASH_DOWNTIME: Duration = Duration::from_millis(600);
 
 /// The faults of one stand-in.
 #[derive(Debug, Default)]
-pub struct FaultGate {
+pub struct FaultInjector {
     faults: Mutex<Faults>,
-    crashes: Notify,
+    crash_signal: Notify,
     crash_count: AtomicU32,
 }
 
-impl FaultGate {
+impl FaultInjector {
     /// Replaces the faults in force.
     pub fn set(&self, faults: Faults) {
         *self.faults.lock().expect("no panic while locked") = faults;
@@ -61,7 +61,7 @@
     }
 
     /// Uses up one of a count, if any is left.
-    pub fn use_up(&self, count: fn(&mut Faults) -> &mut u32) -> bool {
+    pub fn consume(&self, count: fn(&mut Faults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().expect("no panic while locked");
         let n = count(&mut faults);
         let used = *n > 0;
@@ -70,26 +70,26 @@
     }
 
     /// Whether the answer to a call with this body is to be lost.
-    pub fn loses(&self, body: &[u8]) -> bool {
-        let about = self.get().lose_about;
-        let is_meant = String::from_utf8_lossy(body).contains(&about);
-        is_meant && self.use_up(|f| &mut f.lose_answers)
+    pub fn loses_answer(&self, body: &[u8]) -> bool {
+        let pattern = self.get().lose_about;
+        let is_match = String::from_utf8_lossy(body).contains(&pattern);
+        is_match && self.consume(|f| &mut f.lose_answers)
     }
 
     /// Whether a call with this body crashes the stand-in; it does so from then on.
-    pub fn crashes(&self, body: &[u8]) -> bool {
-        let about = self.get().crash_about;
-        let is_meant = !about.is_empty() && String::from_utf8_lossy(body).contains(&about);
-        if is_meant {
+    pub fn triggers_crash(&self, body: &[u8]) -> bool {
+        let pattern = self.get().crash_about;
+        let is_match = !pattern.is_empty() && String::from_utf8_lossy(body).contains(&pattern);
+        if is_match {
             self.crash_count.fetch_add(1, Ordering::Relaxed);
-            self.crashes.notify_one();
+            self.crash_signal.notify_one();
         }
-        is_meant
+        is_match
     }
 
     /// Waits until the stand-in crashes.
-    pub async fn crashed(&self) {
-        self.crashes.notified().await;
+    pub async fn wait_for_crash(&self) {
+        self.crash_signal.notified().await;
     }
 
     /// How often it crashed.
@@ -98,17 +98,17 @@
     }
 
     /// Waits as the faults say. Gives false if the call must be refused.
-    pub async fn pass(&self) -> bool {
+    pub async fn admit(&self) -> bool {
         let f = self.get();
         if f.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(f.delay_ms)).await;
         }
         while self.get().hang {
-            tokio::time::sleep(HANG_LOOK).await;
+            tokio::time::sleep(HANG_POLL_INTERVAL).await;
         }
         !self.get().down
     }
 }
 
 /// Time between looks at whether a hang is over.
-const HANG_LOOK: Duration = Duration::from_millis(20);
+const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -1,7 +1,7 @@
 //! The host list, which lags behind the truth.
 
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json, status};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json, status};
 use hyper::{Method, Response, StatusCode};
 use net::Body;
 use std::sync::{Arc, Mutex};
@@ -11,23 +11,23 @@
 
 /// The stand-in. Hosts are set by `POST /set` with a [`Host`].
 #[derive(Debug)]
-pub struct HostsStandin {
-    gate: FaultGate,
+pub struct FakeHostList {
+    injector: FaultInjector,
     lag: Duration,
     changes: Mutex<Vec<(Instant, Host)>>,
 }
 
-impl HostsStandin {
+impl FakeHostList {
     /// A list whose readers see a change after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self {
-            gate: FaultGate::default(),
+            injector: FaultInjector::default(),
             lag,
             changes: Mutex::default(),
         }
     }
 
-    fn seen(&self) -> HostList {
+    fn visible_list(&self) -> HostList {
         let changes = self.changes.lock().expect("no panic while locked");
         let mut hosts: Vec<Host> = Vec::new();
         let mut version = 1;
@@ -55,9 +55,9 @@
     }
 }
 
-impl Standin for HostsStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakeHostList {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
@@ -70,7 +70,7 @@
                 status(StatusCode::OK)
             }
             (Method::GET, PATH_HOSTS) => {
-                let mut list = self.seen();
+                let mut list = self.visible_list();
                 if call.query.parse() == Ok(list.version) {
                     list.hosts = None;
                 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -18,5 +18,5 @@
 pub mod serve;
 pub mod table;
 
-pub use fault::{FaultGate, Faults};
-pub use serve::{Running, start};
+pub use fault::{FaultInjector, Faults};
+pub use serve::{RunningServer, start};
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -1,7 +1,7 @@
 //! The object store.
 
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json, status};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json, status};
 use bytes::Bytes;
 use hyper::{Method, Response, StatusCode};
 use net::{Body, full};
@@ -12,13 +12,13 @@
 
 /// The stand-in.
 #[derive(Debug, Default)]
-pub struct ObjectsStandin {
-    gate: FaultGate,
+pub struct FakeObjectStore {
+    injector: FaultInjector,
     objects: Mutex<BTreeMap<String, Bytes>>,
     puts: AtomicU64,
 }
 
-impl ObjectsStandin {
+impl FakeObjectStore {
     fn list(&self, prefix: &str) -> Vec<String> {
         let objects = self.objects.lock().expect("no panic while locked");
         let from = objects.range(prefix.to_owned()..);
@@ -49,9 +49,9 @@
     }
 }
 
-impl Standin for ObjectsStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakeObjectStore {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -2,8 +2,8 @@
 
 use crate::answer::plain_digest;
 use crate::clock::now_ms;
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json};
 use hyper::Response;
 use net::Body;
 use serde::{Deserialize, Serialize};
@@ -37,18 +37,18 @@
 
 /// The stand-in.
 #[derive(Debug)]
-pub struct PlainStandin {
-    gate: FaultGate,
-    work: Duration,
+pub struct FakePlainService {
+    injector: FaultInjector,
+    work_time: Duration,
     runs: Mutex<Vec<Run>>,
 }
 
-impl PlainStandin {
+impl FakePlainService {
     /// A service that takes `work` for each call.
-    pub fn new(work: Duration) -> Self {
+    pub fn new(work_time: Duration) -> Self {
         Self {
-            gate: FaultGate::default(),
-            work,
+            injector: FaultInjector::default(),
+            work_time,
             runs: Mutex::default(),
         }
     }
@@ -59,9 +59,9 @@
     }
 }
 
-impl Standin for PlainStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakePlainService {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
@@ -87,7 +87,7 @@
                 runs.push(run);
             }
         }
-        tokio::time::sleep(self.work).await;
+        tokio::time::sleep(self.work_time).await;
         json(&PlainAnswer { digest })
     }
 }
--- a/crates/fakes/src/serve.rs
+++ b/crates/fakes/src/serve.rs
@@ -1,6 +1,6 @@
 //! The server that all stand-ins share.
 
-use crate::fault::{CRASHED, FaultGate};
+use crate::fault::{CRASH_DOWNTIME, FaultInjector};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -15,20 +15,20 @@
 use tokio::net::TcpListener;
 
 /// Largest body that a stand-in reads.
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 /// Longest wait for a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Body of an answer that isn't the protocol.
 pub const NONSENSE: &str = "\u{0}nonsense{{{";
 /// Pause between two tries to listen again after a crash.
-const REBIND_EVERY: Duration = Duration::from_millis(20);
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
 /// Largest head.
-const MAX_HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// A stand-in's own part: it answers calls other than `/faults`.
-pub trait Standin: Send + Sync + 'static {
+pub trait FakeServer: Send + Sync + 'static {
     /// The faults of this stand-in.
-    fn gate(&self) -> &FaultGate;
+    fn injector(&self) -> &FaultInjector;
 
     /// Answers a call.
     fn answer(self: Arc<Self>, call: Call) -> impl Future<Output = Response<Body>> + Send;
@@ -66,19 +66,19 @@
 
 /// A stand-in that runs in this process until it is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningServer {
     /// Where it listens.
     pub addr: SocketAddr,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Running {
+impl RunningServer {
     /// Runs until the process ends.
     pub async fn forever(mut self) {
         // An aborted or failed task ends the stand-in, and that is all there is to know.
@@ -87,48 +87,48 @@
 }
 
 /// Starts a stand-in on an address; port 0 takes any.
-pub async fn start<S: Standin>(addr: SocketAddr, standin: Arc<S>) -> io::Result<Running> {
+pub async fn start<S: FakeServer>(addr: SocketAddr, fake: Arc<S>) -> io::Result<RunningServer> {
     let listener = bind(addr)?;
     let addr = listener.local_addr()?;
     let server = Server {
-        head: HeadLimits::new(BODY_TIMEOUT, MAX_HEAD),
+        head: HeadLimits::new(BODY_TIMEOUT, MAX_HEAD_BYTES),
         protocol: Protocol::Any,
         drain: Stop::default(),
         stop: Stop::default(),
     };
-    let task = tokio::spawn(run(addr, listener, server, standin));
-    Ok(Running { addr, task })
+    let task = tokio::spawn(run(addr, listener, server, fake));
+    Ok(RunningServer { addr, task })
 }
 
 /// Serves, and after a crash takes no connection for a while.
-async fn run<S: Standin>(
+async fn run<S: FakeServer>(
     addr: SocketAddr,
     mut listener: TcpListener,
     server: Server,
-    standin: Arc<S>,
+    fake: Arc<S>,
 ) {
     loop {
-        let served = standin.clone();
+        let served = fake.clone();
         let serving = server
             .clone()
-            .run(listener, move |req| serve(served.clone(), req));
+            .run(listener, move |req| handle(served.clone(), req));
         tokio::select! {
             () = serving => return,
-            () = standin.gate().crashed() => {}
+            () = fake.injector().wait_for_crash() => {}
         }
-        tokio::time::sleep(CRASHED).await;
+        tokio::time::sleep(CRASH_DOWNTIME).await;
         listener = loop {
             match bind(addr) {
                 Ok(listener) => break listener,
-                Err(_) => tokio::time::sleep(REBIND_EVERY).await,
+                Err(_) => tokio::time::sleep(REBIND_INTERVAL).await,
             }
         };
     }
 }
 
-async fn serve<S: Standin>(standin: Arc<S>, req: Request<Incoming>) -> Response<Body> {
+async fn handle<S: FakeServer>(fake: Arc<S>, req: Request<Incoming>) -> Response<Body> {
     let (head, body) = req.into_parts();
-    let Ok(body) = read_body(body, MAX_BODY, BODY_TIMEOUT).await else {
+    let Ok(body) = read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
         return status(StatusCode::BAD_REQUEST);
     };
     let call = Call {
@@ -139,41 +139,41 @@
         body,
     };
     if call.path == "/faults" {
-        return set_faults(standin.gate(), &call);
+        return set_faults(fake.injector(), &call);
     }
     if call.path == "/history" {
-        return standin.answer(call).await;
+        return fake.answer(call).await;
     }
-    if !standin.gate().pass().await {
+    if !fake.injector().admit().await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    if standin.gate().crashes(&call.body) {
-        return broken();
+    if fake.injector().triggers_crash(&call.body) {
+        return broken_answer();
     }
-    if standin.gate().use_up(|f| &mut f.nonsense) {
+    if fake.injector().consume(|f| &mut f.nonsense) {
         return Response::new(full(NONSENSE));
     }
     let body = call.body.clone();
-    let answer = standin.clone().answer(call).await;
-    if standin.gate().loses(&body) {
-        return broken();
+    let answer = fake.clone().answer(call).await;
+    if fake.injector().loses_answer(&body) {
+        return broken_answer();
     }
     answer
 }
 
-fn set_faults(gate: &FaultGate, call: &Call) -> Response<Body> {
+fn set_faults(injector: &FaultInjector, call: &Call) -> Response<Body> {
     if call.method == Method::GET {
-        return json(&gate.get());
+        return json(&injector.get());
     }
     let Some(faults) = call.json() else {
         return status(StatusCode::BAD_REQUEST);
     };
-    gate.set(faults);
+    injector.set(faults);
     status(StatusCode::OK)
 }
 
 /// An answer that breaks off before its first byte.
-fn broken() -> Response<Body> {
+fn broken_answer() -> Response<Body> {
     let (_dropped, body) = stream(1);
     Response::new(body)
 }
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -1,7 +1,7 @@
 //! The transactional table service.
 
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json, status};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json, status};
 use hyper::{Response, StatusCode};
 use net::Body;
 use serde::{Deserialize, Serialize};
@@ -15,8 +15,8 @@
 
 /// The stand-in.
 #[derive(Debug, Default)]
-pub struct TableStandin {
-    gate: FaultGate,
+pub struct FakeTable {
+    injector: FaultInjector,
     state: Mutex<State>,
 }
 
@@ -40,7 +40,7 @@
     pub written: Vec<Row>,
 }
 
-impl TableStandin {
+impl FakeTable {
     /// What the table service saw.
     pub fn history(&self) -> History {
         self.state
@@ -112,9 +112,9 @@
     }
 }
 
-impl Standin for TableStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakeTable {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
--- a/crates/plan/tests/lease.rs
+++ b/crates/plan/tests/lease.rs
@@ -1,8 +1,8 @@
 //! A lease has at most one holder, and orders without the lease are refused.
 
-use fakes::serve::Standin;
-use fakes::table::TableStandin;
-use fakes::{Faults, Running, start};
+use fakes::serve::FakeServer;
+use fakes::table::FakeTable;
+use fakes::{Faults, RunningServer, start};
 use plan::lease::{LeaseManager, LeaseState};
 use plan::planner::order_txn;
 use std::net::SocketAddr;
@@ -15,8 +15,8 @@
 const STALE: Duration = Duration::from_millis(40);
 const KEY: &str = "lease/plan/s";
 
-async fn start_table() -> (Arc<TableStandin>, HttpPlatform, Running) {
-    let table = Arc::<TableStandin>::default();
+async fn start_table() -> (Arc<FakeTable>, HttpPlatform, RunningServer) {
+    let table = Arc::<FakeTable>::default();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let running = start(any, table.clone()).await.unwrap();
     let timeout = Duration::from_millis(300);
@@ -117,20 +117,20 @@
 async fn a_write_with_a_lost_response_is_resolved_and_an_outage_keeps_the_lease() {
     let (standin, table, _running) = start_table().await;
     let mut a = lease_manager("a");
-    standin.gate().set(Faults {
+    standin.injector().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
     a.acquire(&table, None).await;
     assert!(held(&a).is_some());
-    standin.gate().set(Faults {
+    standin.injector().set(Faults {
         down: true,
         ..Faults::default()
     });
     let before = held(&a);
     a.renew(&table).await;
     assert_eq!(held(&a), before);
-    standin.gate().set(Faults::default());
+    standin.injector().set(Faults::default());
     a.renew(&table).await;
     assert!(held(&a).unwrap().1 > before.unwrap().1);
 }
--- a/crates/records/tests/report.rs
+++ b/crates/records/tests/report.rs
@@ -1,7 +1,7 @@
 //! Records: batches survive an outage, and the report states what is missing.
 
-use fakes::objects::ObjectsStandin;
-use fakes::serve::Standin;
+use fakes::objects::FakeObjectStore;
+use fakes::serve::FakeServer;
 use fakes::{Faults, start};
 use records::record::BatchName;
 use records::report::Collector;
@@ -109,7 +109,7 @@
 
 #[tokio::test]
 async fn records_wait_out_an_outage_in_bounded_memory() {
-    let standin = Arc::<ObjectsStandin>::default();
+    let standin = Arc::<FakeObjectStore>::default();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let running = start(any, standin.clone()).await.unwrap();
     let a = running.addr;
@@ -120,7 +120,7 @@
         hosts: a,
         timeout,
     });
-    standin.gate().set(Faults {
+    standin.injector().set(Faults {
         down: true,
         ..Faults::default()
     });
@@ -130,7 +130,7 @@
     for n in 0..all {
         r.record(record(n, Side::Entry, Outcome::Answered, Some(1)));
     }
-    standin.gate().set(Faults {
+    standin.injector().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/checker.rs
@@ -1,13 +1,13 @@
 //! The promises, checked over what clients got and workers saw.
 
-use crate::cut::{Record, Way, is_cut};
-use crate::keys::{Key, Keys, judge_keys};
+use crate::disruption::{Delivery, Timeline, is_aborted};
+use crate::keys::{Key, Keys, check_keys};
 use serde::Serialize;
 use std::time::Instant;
 
 /// What a client may expect of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// May run more than once.
     Idempotent,
     /// May run once.
@@ -18,7 +18,7 @@
     Stream,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether it may run once at most.
     fn is_once(self) -> bool {
         matches!(self, Self::NonIdempotent | Self::Stream)
@@ -31,7 +31,7 @@
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// An answer, with its status and body; whole as the protocol has it.
     Whole(u16, String),
     /// The connection broke, or nothing came in time.
@@ -40,22 +40,22 @@
 
 /// A request as its client saw it.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct ClientRequest {
     /// Its id.
     pub id: String,
     /// What may be done with it.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// How it ended.
-    pub end: End,
+    pub end: RequestEnd,
     /// Where it went, and when.
-    pub way: Way,
+    pub delivery: Delivery,
     /// The key that it bore.
     pub key: Key,
 }
 
 /// A request as a worker saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
+pub struct WorkerRun {
     /// Its id.
     pub id: String,
     /// Event after which it went on.
@@ -70,9 +70,9 @@
 
 /// A time in which a worker should have got no new request.
 #[derive(Debug, Clone)]
-pub struct Left {
+pub struct Departure {
     /// Requests that it got in that time.
-    pub late: usize,
+    pub late_requests: usize,
     /// When the time began.
     pub since: Instant,
 }
@@ -128,66 +128,72 @@
 pub const PIECES: u64 = 4;
 
 /// Compares what clients got with what workers saw.
-pub fn judge(asked: &[Asked], ran: &[Ran], left: &[Left], record: &Record, keys: &Keys) -> Verdict {
-    let runs = sorted(ran);
-    let of_keys = judge_keys(asked, &runs, keys, record);
-    let mut ids: Vec<&str> = asked.iter().map(|a| a.id.as_str()).collect();
+pub fn check_history(
+    requests: &[ClientRequest],
+    runs: &[WorkerRun],
+    departures: &[Departure],
+    timeline: &Timeline,
+    keys: &Keys,
+) -> Verdict {
+    let sorted_runs = sort_by_id(runs);
+    let key_violations = check_keys(requests, &sorted_runs, keys, timeline);
+    let mut ids: Vec<&str> = requests.iter().map(|a| a.id.as_str()).collect();
     ids.sort_unstable();
-    let is_unasked = |r: &&Ran| ids.binary_search(&r.id.as_str()).is_err();
+    let is_unasked = |r: &&WorkerRun| ids.binary_search(&r.id.as_str()).is_err();
     let mut out = Verdict {
-        unasked: ran.iter().filter(is_unasked).count(),
-        late_at_leaving: left.iter().map(|l| l.late).sum(),
-        told_wrongly: of_keys.told_wrongly,
-        ran_without_key: of_keys.ran_without_key,
-        denied: of_keys.denied,
+        unasked: runs.iter().filter(is_unasked).count(),
+        late_at_leaving: departures.iter().map(|d| d.late_requests).sum(),
+        told_wrongly: key_violations.told_wrongly,
+        ran_without_key: key_violations.ran_without_key,
+        denied: key_violations.denied,
         ..Verdict::default()
     };
-    for asked in asked {
-        let own = own(&runs, &asked.id);
-        check(asked, own.len(), &mut out);
-        let is_stopped = || record.stop_of(asked, own).is_some();
+    for request in requests {
+        let own_runs = runs_of(&sorted_runs, &request.id);
+        check_answer(request, own_runs.len(), &mut out);
+        let is_stopped = || timeline.stop_to_blame(request, own_runs).is_some();
         // What runs nowhere any more as its key was taken away isn't cut by the stop.
-        let is_cut = is_cut(asked, own) && !keys.changed_under(asked);
-        out.cut_by_stop += usize::from(is_cut && is_stopped());
+        let is_aborted = is_aborted(request, own_runs) && !keys.is_revoked_during(request);
+        out.cut_by_stop += usize::from(is_aborted && is_stopped());
     }
     out
 }
 
 /// Runs in the order of their requests' ids.
-pub fn sorted(ran: &[Ran]) -> Vec<&Ran> {
-    let mut runs: Vec<&Ran> = ran.iter().collect();
-    runs.sort_by(|a, b| a.id.cmp(&b.id));
-    runs
+pub fn sort_by_id(runs: &[WorkerRun]) -> Vec<&WorkerRun> {
+    let mut sorted: Vec<&WorkerRun> = runs.iter().collect();
+    sorted.sort_by(|a, b| a.id.cmp(&b.id));
+    sorted
 }
 
 /// The runs of a request, of all in the order of their ids.
-pub fn own<'a, 'b>(runs: &'b [&'a Ran], id: &str) -> &'b [&'a Ran] {
+pub fn runs_of<'a, 'b>(runs: &'b [&'a WorkerRun], id: &str) -> &'b [&'a WorkerRun] {
     let from = runs.partition_point(|r| r.id.as_str() < id);
     let len = runs[from..].iter().take_while(|r| r.id == id).count();
     &runs[from..from + len]
 }
 
-fn check(asked: &Asked, runs: usize, out: &mut Verdict) {
-    if asked.kind.is_once() && runs > 1 {
+fn check_answer(request: &ClientRequest, runs: usize, out: &mut Verdict) {
+    if request.kind.is_once() && runs > 1 {
         out.twice += 1;
     }
-    let End::Whole(status, body) = &asked.end else {
+    let RequestEnd::Whole(status, body) = &request.end else {
         return;
     };
-    match (*status, asked.kind) {
+    match (*status, request.kind) {
         // Nothing is wrong with any of them, whatever upstreams did.
         (400, _) => out.held_wrongly += 1,
         (200, kind) if kind.is_stream() && !is_ordered(body) => out.disordered += 1,
-        (200, _) if is_foreign(asked) => out.mixed += 1,
+        (200, _) if has_foreign_body(request) => out.mixed += 1,
         (429 | 503 | 408 | 421, kind) if kind.is_once() && runs > 0 => out.refused_but_ran += 1,
         _ => {}
     }
 }
 
 /// Whether a plain request was answered with success and another body than its own.
-pub fn is_foreign(asked: &Asked) -> bool {
-    let is_plain = !asked.kind.is_stream();
-    is_plain && matches!(&asked.end, End::Whole(200, body) if *body != asked.id)
+pub fn has_foreign_body(request: &ClientRequest) -> bool {
+    let is_plain = !request.kind.is_stream();
+    is_plain && matches!(&request.end, RequestEnd::Whole(200, body) if *body != request.id)
 }
 
 fn is_ordered(body: &str) -> bool {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients that keep their connections as long as these live.
 
-use crate::cut::Way;
-use crate::judge::{Asked, End, Kind};
+use crate::checker::{ClientRequest, RequestEnd, RequestKind};
+use crate::disruption::Delivery;
 use crate::keys::Key;
 use standin::fixture::{PROMPT, request};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 const MAX_PAUSE_MS: u64 = 40;
 
 /// Longest time that the other answers of a slow client take where long ones are rare.
-const QUICK_MS: u64 = 60;
+const QUICK_ANSWER_MS: u64 = 60;
 
 /// How long the answers take that a client asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 impl Slow {
     fn draw_ms(self, rng: &mut fastrand::Rng) -> u64 {
         if self.one_in > 1 && rng.u64(..self.one_in) > 0 {
-            return rng.u64(..QUICK_MS);
+            return rng.u64(..QUICK_ANSWER_MS);
         }
         rng.u64(..self.longest_ms) * rng.u64(1..=4) / 4
     }
@@ -58,7 +58,7 @@
 }
 
 /// What all clients got.
-pub type History = Arc<Mutex<Vec<Asked>>>;
+pub type History = Arc<Mutex<Vec<ClientRequest>>>;
 
 /// A client that sends requests until it is told to stop.
 pub async fn run(
@@ -70,7 +70,7 @@
     seed: u64,
 ) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut kept = None;
+    let mut connection = None;
     for n in 0u64.. {
         let pause = Duration::from_millis(rng.u64(..MAX_PAUSE_MS));
         tokio::select! {
@@ -80,36 +80,40 @@
         let id = format!("c{name}-{n}");
         let is_last = *stop.borrow() == Phase::Last;
         let key = Key::draw(name, is_last, &mut rng);
-        let (kind, text) = draw(pace, &id, key, &mut rng);
-        let mut way = Way {
+        let (kind, text) = draw_request(pace, &id, key, &mut rng);
+        let mut delivery = Delivery {
             gateway: rng.usize(..gateways.len()),
             sent: None,
             ended: Instant::now(),
-            has_begun: false,
+            answer_started: false,
         };
-        let asked = ask(&mut kept, &gateways, &text, &mut way);
-        let end = tokio::time::timeout(TIMEOUT, asked).await.unwrap_or(None);
-        way.ended = Instant::now();
-        let end = end.unwrap_or(End::Broken);
-        let asked = Asked {
+        let exchange = send_request(&mut connection, &gateways, &text, &mut delivery);
+        let end = tokio::time::timeout(TIMEOUT, exchange)
+            .await
+            .unwrap_or(None);
+        delivery.ended = Instant::now();
+        let end = end.unwrap_or(RequestEnd::Broken);
+        let request = ClientRequest {
             id,
             kind,
             end,
-            way,
+            delivery,
             key,
         };
-        history.lock().expect("no panic while locked").push(asked);
+        history.lock().expect("no panic while locked").push(request);
     }
 }
 
 /// A request's kind and text.
-fn draw(pace: Pace, id: &str, key: Key, rng: &mut fastrand::Rng) -> (Kind, String) {
+fn draw_request(pace: Pace, id: &str, key: Key, rng: &mut fastrand::Rng) -> (RequestKind, String) {
     let (kind, method, path) = match (pace, rng.u32(..10)) {
-        (Pace::Quick, 0..4) | (Pace::Slow(_), 0..2) => (Kind::Idempotent, "GET", "/safe/"),
-        (Pace::Quick, 4..8) | (Pace::Slow(_), 2..4) => (Kind::NonIdempotent, "POST", "/twice/"),
-        (Pace::Slow(_), 6..8) => (Kind::Stream, "POST", "/stream/"),
-        (Pace::Slow(_), 8..) => (Kind::Stream, "POST", "/prompt/"),
-        _ => (Kind::Resumable, "POST", "/resumable/"),
+        (Pace::Quick, 0..4) | (Pace::Slow(_), 0..2) => (RequestKind::Idempotent, "GET", "/safe/"),
+        (Pace::Quick, 4..8) | (Pace::Slow(_), 2..4) => {
+            (RequestKind::NonIdempotent, "POST", "/twice/")
+        }
+        (Pace::Slow(_), 6..8) => (RequestKind::Stream, "POST", "/stream/"),
+        (Pace::Slow(_), 8..) => (RequestKind::Stream, "POST", "/prompt/"),
+        _ => (RequestKind::Resumable, "POST", "/resumable/"),
     };
     let takes = match pace {
         Pace::Quick => 0,
@@ -128,54 +132,54 @@
 }
 
 /// A connection that is kept, and the number of its gateway.
-struct Kept {
+struct OpenConnection {
     tcp: TcpStream,
     gateway: usize,
 }
 
 /// Sends a request on the kept connection, whether or not its process is stopping, or on
 /// a new one; none if it broke, or nobody takes one.
-async fn ask(
-    kept: &mut Option<Kept>,
+async fn send_request(
+    connection: &mut Option<OpenConnection>,
     gateways: &[SocketAddr],
     text: &str,
-    way: &mut Way,
-) -> Option<End> {
-    let mut to = match kept.take() {
+    delivery: &mut Delivery,
+) -> Option<RequestEnd> {
+    let mut to = match connection.take() {
         Some(to) => to,
-        None => connect(gateways, way.gateway).await?,
+        None => connect(gateways, delivery.gateway).await?,
     };
-    way.gateway = to.gateway;
+    delivery.gateway = to.gateway;
     to.tcp.write_all(text.as_bytes()).await.ok()?;
-    way.sent = Some(Instant::now());
+    delivery.sent = Some(Instant::now());
     let mut buf = Vec::new();
     loop {
-        if let Some((end, may_keep)) = whole(&buf) {
+        if let Some((end, may_keep)) = parse_answer(&buf) {
             if may_keep {
-                *kept = Some(to);
+                *connection = Some(to);
             }
             return Some(end);
         }
         if to.tcp.read_buf(&mut buf).await.ok()? == 0 {
             return None;
         }
-        way.has_begun = true;
+        delivery.answer_started = true;
     }
 }
 
 /// Connects to the first that takes a connection, as a balancer does where none is ready.
-async fn connect(gateways: &[SocketAddr], first: usize) -> Option<Kept> {
+async fn connect(gateways: &[SocketAddr], first: usize) -> Option<OpenConnection> {
     for n in 0..gateways.len() {
         let gateway = (first + n) % gateways.len();
         if let Ok(tcp) = TcpStream::connect(gateways[gateway]).await {
-            return Some(Kept { tcp, gateway });
+            return Some(OpenConnection { tcp, gateway });
         }
     }
     None
 }
 
 /// The answer in a buffer once it is whole, and whether the connection goes on.
-fn whole(buf: &[u8]) -> Option<(End, bool)> {
+fn parse_answer(buf: &[u8]) -> Option<(RequestEnd, bool)> {
     let text = std::str::from_utf8(buf).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
     let head = head.to_ascii_lowercase();
@@ -183,10 +187,10 @@
     let may_keep = !head.contains("connection: close");
     if head.contains("transfer-encoding: chunked") {
         let body = body.strip_suffix("0\r\n\r\n")?;
-        return Some((End::Whole(status, body.to_owned()), may_keep));
+        return Some((RequestEnd::Whole(status, body.to_owned()), may_keep));
     }
     let len = head.split("content-length: ").nth(1)?;
     let len: usize = len.split("\r\n").next()?.parse().ok()?;
     // More than the announced bytes would be another's answer: judged as body.
-    (body.len() >= len).then(|| (End::Whole(status, body.to_owned()), may_keep))
+    (body.len() >= len).then(|| (RequestEnd::Whole(status, body.to_owned()), may_keep))
 }
--- a/crates/soak/src/scene.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,8 +1,8 @@
 //! What a soak runs: gateways as processes, a store and workers behind relays.
 
-use crate::cut::{GRACE, Record, Stopped, Trouble};
-use crate::deadly::Deadly;
-use crate::judge::PIECES;
+use crate::checker::PIECES;
+use crate::crashing::CrashingRequest;
+use crate::disruption::{Disruption, PlannedStop, STOP_GRACE, Timeline};
 use crate::keys::{HOLDER_GAP, Key, Keys, WINDOW};
 use bench::probe::serves;
 use bench::procs::{Proc, Signal};
@@ -27,13 +27,13 @@
 pub const ENGINES_COUNT: u8 = 2;
 
 /// Text in the body of the requests that crash workers.
-pub const DEADLY: &str = "deadly";
+pub const CRASHING_BODY: &str = "deadly";
 /// How long a worker is away after a crash.
-const AWAY: Duration = Duration::from_millis(400);
+const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
 /// Time between two heartbeats of a worker.
-const HEARTBEAT: Duration = Duration::from_millis(1200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 /// Start of all workers, by their clocks, in milliseconds.
-const BORN: u64 = 1_700_000_000_000;
+const STARTED_AT_MS: u64 = 1_700_000_000_000;
 
 /// A gateway: its process, and where clients reach it.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// The process.
     pub proc: Proc,
     /// Where clients connect.
-    pub callers: SocketAddr,
+    pub client_addr: SocketAddr,
     /// The relay between it and the store.
     pub store: Relay,
     name: String,
@@ -65,7 +65,7 @@
 
 /// All of it.
 #[derive(Debug)]
-pub struct Scene {
+pub struct Cluster {
     /// The store.
     pub store: Arc<Store>,
     /// The platform's calls that one host makes for all.
@@ -73,7 +73,7 @@
     /// Tenants' keys.
     pub keys: Keys,
     /// Requests that were sent to crash workers.
-    pub deadly: Vec<Deadly>,
+    pub crashing_requests: Vec<CrashingRequest>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
     /// Workers that are registered.
@@ -81,45 +81,45 @@
     /// Engines. Nothing happens to them; they answer as workers do.
     pub engines: Vec<Upstream>,
     /// Workers that have left; their histories still count.
-    pub gone: Vec<Upstream>,
+    pub removed_upstreams: Vec<Upstream>,
     /// Planned stops, and what excuses a cut answer.
-    pub record: Record,
+    pub timeline: Timeline,
     net: u8,
     binary: PathBuf,
     started: u32,
     version: u64,
 }
 
-impl Scene {
+impl Cluster {
     /// Starts all of it on the addresses 127.65.NET.0/24, with files in a folder.
     pub async fn start(net: u8, binary: &Path, dir: &Path) -> io::Result<Self> {
         let store = Arc::new(Store::start(address(net, 1, 7000))?);
-        let mut scene = Self {
+        let mut cluster = Self {
             store,
             cloud: Cloud::start(address(net, 2, 7000))?,
             keys: Keys::default(),
-            deadly: Vec::new(),
+            crashing_requests: Vec::new(),
             gateways: Vec::new(),
             upstreams: Vec::new(),
             engines: Vec::new(),
-            gone: Vec::new(),
-            record: Record::default(),
+            removed_upstreams: Vec::new(),
+            timeline: Timeline::default(),
             net,
             binary: binary.to_owned(),
             started: 0,
             version: 0,
         };
-        scene.change_config();
+        cluster.change_config();
         for _ in 0..WORKERS_COUNT {
-            scene.add_worker().await?;
+            cluster.add_worker().await?;
         }
         for _ in 0..ENGINES_COUNT {
-            scene.add_engine().await?;
+            cluster.add_engine().await?;
         }
         for n in 0..GATEWAYS {
-            scene.add_gateway(n, dir)?;
+            cluster.add_gateway(n, dir)?;
         }
-        Ok(scene)
+        Ok(cluster)
     }
 
     fn add_gateway(&mut self, n: u8, dir: &Path) -> io::Result<()> {
@@ -133,7 +133,7 @@
         std::fs::write(&path, text)?;
         self.gateways.push(Gateway {
             proc: Proc::start_gateway(&self.binary, &name, &path)?,
-            callers: SocketAddr::new(IpAddr::V4(ip), 7000),
+            client_addr: SocketAddr::new(IpAddr::V4(ip), 7000),
             store,
             name,
             settings: path,
@@ -145,14 +145,14 @@
     pub fn set_store(&mut self, mode: Mode) {
         self.store.set_mode(mode);
         self.keys
-            .note_store(None, mode == Mode::Serve, Instant::now());
+            .record_store(None, mode == Mode::Serve, Instant::now());
     }
 
     /// Changes the link between a gateway and the store.
     pub fn set_store_link(&mut self, n: usize, link: Link) {
         self.gateways[n].store.set(link);
         self.keys
-            .note_store(Some(n), link == Link::Open, Instant::now());
+            .record_store(Some(n), link == Link::Open, Instant::now());
     }
 
     /// Takes a tenant's second key away, or gives it back.
@@ -165,10 +165,10 @@
     /// Starts a gateway's process anew, once the old one has ended.
     pub fn restart(&mut self, n: usize) -> io::Result<()> {
         let now = Instant::now();
-        if let Some(stop) = self.stop_under_way(n) {
+        if let Some(stop) = self.stop_of(n) {
             stop.until = Some(now);
         }
-        self.end_trouble(Some(n), now);
+        self.end_disruption(Some(n), now);
         let gateway = &mut self.gateways[n];
         gateway.proc = Proc::start_gateway(&self.binary, &gateway.name, &gateway.settings)?;
         Ok(())
@@ -178,22 +178,22 @@
     pub fn signal(&mut self, n: usize, signal: Signal) {
         let now = Instant::now();
         match signal {
-            Signal::Term if self.stop_under_way(n).is_none() => self.record.stops.push(Stopped {
+            Signal::Term if self.stop_of(n).is_none() => self.timeline.stops.push(PlannedStop {
                 gateway: n,
                 signal: now,
                 until: None,
             }),
-            Signal::Kill | Signal::Pause => self.begin_trouble(Some(n), now),
-            Signal::Resume => self.end_trouble(Some(n), now),
+            Signal::Kill | Signal::Pause => self.begin_disruption(Some(n), now),
+            Signal::Resume => self.end_disruption(Some(n), now),
             Signal::Term | Signal::Hangup => {}
         }
         self.gateways[n].proc.signal(signal);
     }
 
     /// Kills what hasn't ended within the grace, as the platform does. It excuses nothing.
-    pub fn end_grace(&self) {
-        let is_over = |s: &&Stopped| s.until.is_none() && s.signal.elapsed() >= GRACE;
-        for stop in self.record.stops.iter().filter(is_over) {
+    pub fn kill_overdue(&self) {
+        let is_over = |s: &&PlannedStop| s.until.is_none() && s.signal.elapsed() >= STOP_GRACE;
+        for stop in self.timeline.stops.iter().filter(is_over) {
             self.gateways[stop.gateway].proc.signal(Signal::Kill);
         }
     }
@@ -202,38 +202,38 @@
     pub fn set_worker_link(&mut self, n: usize, link: Link) {
         self.upstreams[n].link = link;
         self.upstreams[n].relay.set(link);
-        self.note_links();
+        self.record_worker_links();
     }
 
-    fn note_links(&mut self) {
+    fn record_worker_links(&mut self) {
         let now = Instant::now();
         match self.upstreams.iter().any(|u| u.link != Link::Open) {
-            true => self.begin_trouble(None, now),
-            false => self.end_trouble(None, now),
+            true => self.begin_disruption(None, now),
+            false => self.end_disruption(None, now),
         }
     }
 
-    fn stop_under_way(&mut self, n: usize) -> Option<&mut Stopped> {
-        let mut stops = self.record.stops.iter_mut();
+    fn stop_of(&mut self, n: usize) -> Option<&mut PlannedStop> {
+        let mut stops = self.timeline.stops.iter_mut();
         stops.find(|s| s.gateway == n && s.until.is_none())
     }
 
     /// Notes a fault, unless one of the same is under way.
-    fn begin_trouble(&mut self, gateway: Option<usize>, from: Instant) {
-        let mut troubles = self.record.troubles.iter();
-        if troubles.any(|t| t.gateway == gateway && t.until.is_none()) {
+    fn begin_disruption(&mut self, gateway: Option<usize>, from: Instant) {
+        let mut disruptions = self.timeline.disruptions.iter();
+        if disruptions.any(|t| t.gateway == gateway && t.until.is_none()) {
             return;
         }
-        self.record.troubles.push(Trouble {
+        self.timeline.disruptions.push(Disruption {
             gateway,
             from,
             until: None,
         });
     }
 
-    fn end_trouble(&mut self, gateway: Option<usize>, until: Instant) {
-        let troubles = self.record.troubles.iter_mut();
-        for open in troubles.filter(|t| t.gateway == gateway && t.until.is_none()) {
+    fn end_disruption(&mut self, gateway: Option<usize>, until: Instant) {
+        let disruptions = self.timeline.disruptions.iter_mut();
+        for open in disruptions.filter(|t| t.gateway == gateway && t.until.is_none()) {
             open.until = Some(until);
         }
     }
@@ -244,8 +244,8 @@
         self.register(&upstream, "ready");
         let (store, id, addr) = (self.store.clone(), upstream.id.clone(), upstream.addr);
         upstream.worker.crash_on(Some(Crash {
-            on: DEADLY.into(),
-            away: AWAY,
+            on: CRASHING_BODY.into(),
+            away: CRASH_DOWNTIME,
             on_start: Box::new(move |born| register(&store, &id, born, addr, "ready")),
         }));
         self.upstreams.push(upstream);
@@ -268,7 +268,7 @@
         let (high, low) = ((n / 200) as u8, (n % 200) as u8);
         let port = 7000 + u16::from(high);
         let listen = address(self.net, 50 + low, port);
-        let worker = Worker::start_since(listen, &format!("i-{n}"), BORN).await?;
+        let worker = Worker::start_since(listen, &format!("i-{n}"), STARTED_AT_MS).await?;
         worker.usually(Act::ServeOver(PIECES));
         let addr = address(self.net, 50 + low, port + 100);
         Ok(Upstream {
@@ -288,7 +288,7 @@
 
     /// Lets another writer spoil a worker's row, or write one of its own, until the worker's
     /// next heartbeat.
-    pub fn spoil_row(&self, n: usize, rng: &mut fastrand::Rng) {
+    pub fn corrupt_row(&self, n: usize, rng: &mut fastrand::Rng) {
         let upstream = &self.upstreams[n];
         let born = upstream.worker.born().unwrap_or_default();
         let good = worker_since(born, "plain", upstream.addr, "ready");
@@ -299,7 +299,7 @@
         let (store, id, addr) = (self.store.clone(), upstream.id.clone(), upstream.addr);
         let bad = bad.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(HEARTBEAT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             // It may have started again, or left.
             if store.raw(WORKERS, &id) == Some(bad) {
                 register(&store, &id, born, addr, "ready");
@@ -308,8 +308,8 @@
     }
 
     /// How often a request with a body has reached workers.
-    pub fn reached(&self, body: &str) -> usize {
-        let all = self.upstreams.iter().chain(&self.gone);
+    pub fn times_received(&self, body: &str) -> usize {
+        let all = self.upstreams.iter().chain(&self.removed_upstreams);
         let seen = all.flat_map(|u| u.worker.seen());
         seen.filter(|s| s.body == body.as_bytes()).count()
     }
@@ -320,8 +320,8 @@
         // It isn't registered anew.
         upstream.worker.crash_on(None);
         self.store.remove(WORKERS, &upstream.id);
-        self.gone.push(upstream);
-        self.note_links();
+        self.removed_upstreams.push(upstream);
+        self.record_worker_links();
     }
 
     /// Writes a new version of the configuration, with a route more each time.
@@ -338,8 +338,8 @@
 
     /// Waits until each gateway serves, at most for a time; says whether all do.
     pub async fn all_serve(&self, bound: Duration) -> bool {
-        let key = Key::Own(0).header();
-        let all = self.gateways.iter().map(|g| serves(g.callers, &key));
+        let key = Key::Permanent(0).header();
+        let all = self.gateways.iter().map(|g| serves(g.client_addr, &key));
         let served = async {
             for one in all {
                 one.await;
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,9 +1,9 @@
 //! Faults, drawn by a seed, in series and overlapping.
 
-use crate::deadly;
-use crate::judge::{Left, PIECES};
+use crate::checker::{Departure, PIECES};
+use crate::cluster::Cluster;
+use crate::crashing;
 use crate::keys::TENANTS;
-use crate::scene::Scene;
 use crate::schedule::{Schedule, Step};
 use bench::procs::Signal;
 use bench::relay::Link;
@@ -15,14 +15,14 @@
 
 /// Time after a worker's notice past which a new request breaks the promise: the
 /// bound, and room for a busy machine.
-const LEAVE_BOUND: Duration = DRAIN_BOUND.saturating_add(Duration::from_millis(500));
+const DRAIN_GRACE: Duration = DRAIN_BOUND.saturating_add(Duration::from_millis(500));
 /// Of the notices that are drawn, one in so many is given: each needs calm.
 const LEAVE_ONE_IN: u32 = 3;
 /// Time without any fault before and during a notice, so that the promise holds.
-const CALM: Duration = Duration::from_secs(4);
+const QUIET_TIME: Duration = Duration::from_secs(4);
 
 /// Longest look at whether all serve, before processes that ended are started anew.
-const LOOK: Duration = Duration::from_millis(250);
+const READY_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,11 +66,11 @@
     /// Draws one, with the pause before it in milliseconds.
     pub fn draw(rng: &mut fastrand::Rng) -> (u64, Self) {
         let pause_ms = rng.u64(50..700);
-        (pause_ms, ALL[rng.usize(..ALL.len())])
+        (pause_ms, ALL_FAULTS[rng.usize(..ALL_FAULTS.len())])
     }
 }
 
-const ALL: [Fault; 16] = [
+const ALL_FAULTS: [Fault; 16] = [
     Fault::Kill,
     Fault::Stop,
     Fault::Pause,
@@ -91,84 +91,88 @@
 
 /// Counts of what was done.
 #[derive(Debug, Default)]
-pub struct Done {
+pub struct FaultLog {
     /// Faults.
     pub faults: usize,
     /// Workers that left in calm, and what they got after their time.
-    pub left: Vec<Left>,
+    pub departures: Vec<Departure>,
     /// What was done, one after another.
     pub steps: Vec<Step>,
 }
 
 /// Does faults until a time.
-pub async fn run(scene: &mut Scene, mut schedule: Schedule, until: Instant) -> io::Result<Done> {
-    let mut done = Done::default();
+pub async fn run(
+    cluster: &mut Cluster,
+    mut schedule: Schedule,
+    until: Instant,
+) -> io::Result<FaultLog> {
+    let mut done = FaultLog::default();
     while Instant::now() < until {
         let Some((step, mut rng)) = schedule.next_step() else {
             break;
         };
         done.steps.push(step);
         tokio::time::sleep(Duration::from_millis(step.pause_ms)).await;
-        revive(scene)?;
-        let is_left_out = step.fault == Fault::Leave && rng.u32(..LEAVE_ONE_IN) > 0;
-        if !is_left_out {
+        restart_ended(cluster)?;
+        let is_skipped = step.fault == Fault::Leave && rng.u32(..LEAVE_ONE_IN) > 0;
+        if !is_skipped {
             done.faults += 1;
-            act(scene, step.fault, &mut rng, &mut done).await?;
+            inject(cluster, step.fault, &mut rng, &mut done).await?;
         }
-        schedule.drew(rng);
+        schedule.advance(rng);
     }
     Ok(done)
 }
 
 /// Starts processes anew that have ended, as the platform does; gives their numbers.
-pub(crate) fn revive(scene: &mut Scene) -> io::Result<Vec<usize>> {
-    scene.end_grace();
+pub(crate) fn restart_ended(cluster: &mut Cluster) -> io::Result<Vec<usize>> {
+    cluster.kill_overdue();
     let mut started = Vec::new();
-    for n in 0..scene.gateways.len() {
-        if scene.gateways[n].proc.has_ended() {
-            scene.restart(n)?;
+    for n in 0..cluster.gateways.len() {
+        if cluster.gateways[n].proc.has_ended() {
+            cluster.restart(n)?;
             started.push(n);
         }
     }
     Ok(started)
 }
 
-async fn act(
-    scene: &mut Scene,
+async fn inject(
+    cluster: &mut Cluster,
     fault: Fault,
     rng: &mut fastrand::Rng,
-    done: &mut Done,
+    done: &mut FaultLog,
 ) -> io::Result<()> {
-    let gateway = rng.usize(..scene.gateways.len());
-    let worker = rng.usize(..scene.upstreams.len());
+    let gateway = rng.usize(..cluster.gateways.len());
+    let worker = rng.usize(..cluster.upstreams.len());
     match fault {
-        Fault::Kill => scene.signal(gateway, Signal::Kill),
-        Fault::Stop => scene.signal(gateway, Signal::Term),
+        Fault::Kill => cluster.signal(gateway, Signal::Kill),
+        Fault::Stop => cluster.signal(gateway, Signal::Term),
         // A process that is paused when it is told to stop hears of it when it goes on.
-        Fault::Pause if rng.bool() => scene.signal(gateway, Signal::Pause),
-        Fault::Pause => scene.signal(gateway, Signal::Resume),
-        Fault::Hangup => scene.signal(gateway, Signal::Hangup),
-        Fault::Store => scene.set_store(mode(rng)),
-        Fault::StoreLink => scene.set_store_link(gateway, link(rng)),
-        Fault::WorkerLink => scene.set_worker_link(worker, link(rng)),
+        Fault::Pause if rng.bool() => cluster.signal(gateway, Signal::Pause),
+        Fault::Pause => cluster.signal(gateway, Signal::Resume),
+        Fault::Hangup => cluster.signal(gateway, Signal::Hangup),
+        Fault::Store => cluster.set_store(random_store_mode(rng)),
+        Fault::StoreLink => cluster.set_store_link(gateway, random_link(rng)),
+        Fault::WorkerLink => cluster.set_worker_link(worker, random_link(rng)),
         Fault::Answers => {
-            let acts: Vec<Act> = (0..rng.usize(1..6)).map(|_| answer(rng)).collect();
-            scene.upstreams[worker].worker.script(acts);
+            let acts: Vec<Act> = (0..rng.usize(1..6)).map(|_| random_act(rng)).collect();
+            cluster.upstreams[worker].worker.script(acts);
         }
-        Fault::Config => scene.change_config(),
-        Fault::Scale if scene.upstreams.len() > 2 && rng.bool() => scene.retire(worker),
-        Fault::Scale => scene.add_worker().await?,
-        Fault::Forget => scene.store.forget_history(),
-        Fault::Leave => leave(scene, worker, done).await?,
-        Fault::Deadly => deadly::begin(scene, rng),
-        Fault::BadRow => scene.spoil_row(worker, rng),
-        Fault::Key => scene.toggle_key(rng.usize(..TENANTS)),
-        Fault::Cloud => scene.cloud.set_mode(cloud_mode(rng)),
+        Fault::Config => cluster.change_config(),
+        Fault::Scale if cluster.upstreams.len() > 2 && rng.bool() => cluster.retire(worker),
+        Fault::Scale => cluster.add_worker().await?,
+        Fault::Forget => cluster.store.forget_history(),
+        Fault::Leave => drain_worker(cluster, worker, done).await?,
+        Fault::Deadly => crashing::begin(cluster, rng),
+        Fault::BadRow => cluster.corrupt_row(worker, rng),
+        Fault::Key => cluster.toggle_key(rng.usize(..TENANTS)),
+        Fault::Cloud => cluster.cloud.set_mode(random_cloud_mode(rng)),
     }
     Ok(())
 }
 
-pub(crate) fn mode(rng: &mut fastrand::Rng) -> Mode {
+pub(crate) fn random_store_mode(rng: &mut fastrand::Rng) -> Mode {
     match rng.u32(..5) {
         0 => Mode::Refuse(503),
         1 => Mode::Refuse(429),
@@ -177,7 +181,7 @@
     }
 }
 
-fn cloud_mode(rng: &mut fastrand::Rng) -> CloudMode {
+fn random_cloud_mode(rng: &mut fastrand::Rng) -> CloudMode {
     match rng.u32(..6) {
         0 => CloudMode::Refuse(429),
         1 => CloudMode::Refuse(503),
@@ -187,7 +191,7 @@
     }
 }
 
-fn link(rng: &mut fastrand::Rng) -> Link {
+fn random_link(rng: &mut fastrand::Rng) -> Link {
     match rng.u32(..6) {
         0 => Link::Held,
         1 => Link::HeldBack,
@@ -197,7 +201,7 @@
     }
 }
 
-fn answer(rng: &mut fastrand::Rng) -> Act {
+fn random_act(rng: &mut fastrand::Rng) -> Act {
     let after = rng.u64(1..PIECES);
     match rng.u32(..10) {
         0 => Act::Close,
@@ -221,29 +225,29 @@
 }
 
 /// Ends all faults.
-pub async fn calm(scene: &mut Scene) -> io::Result<()> {
-    scene.set_store(Mode::Serve);
-    scene.cloud.set_mode(CloudMode::Serve);
-    for n in 0..scene.gateways.len() {
-        scene.signal(n, Signal::Resume);
-        scene.set_store_link(n, Link::Open);
+pub async fn clear_faults(cluster: &mut Cluster) -> io::Result<()> {
+    cluster.set_store(Mode::Serve);
+    cluster.cloud.set_mode(CloudMode::Serve);
+    for n in 0..cluster.gateways.len() {
+        cluster.signal(n, Signal::Resume);
+        cluster.set_store_link(n, Link::Open);
     }
-    for n in 0..scene.upstreams.len() {
-        scene.set_worker_link(n, Link::Open);
+    for n in 0..cluster.upstreams.len() {
+        cluster.set_worker_link(n, Link::Open);
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
-    revive(scene)?;
+    restart_ended(cluster)?;
     Ok(())
 }
 
 /// Waits until all gateways serve, at most for a time; says whether they do. As on
 /// the platform, a process that ends meanwhile is started anew: one that was told
 /// to stop just before the calm ends seconds after it.
-pub async fn recover(scene: &mut Scene, bound: Duration) -> io::Result<bool> {
+pub async fn recover(cluster: &mut Cluster, bound: Duration) -> io::Result<bool> {
     let until = Instant::now() + bound;
     while Instant::now() < until {
-        revive(scene)?;
-        if scene.all_serve(LOOK).await {
+        restart_ended(cluster)?;
+        if cluster.all_serve(READY_CHECK_TIMEOUT).await {
             return Ok(true);
         }
     }
@@ -251,23 +255,26 @@
 }
 
 /// Lets a worker leave in calm, and counts what it gets after its time.
-async fn leave(scene: &mut Scene, n: usize, done: &mut Done) -> io::Result<()> {
-    if scene.upstreams.len() <= 2 {
+async fn drain_worker(cluster: &mut Cluster, n: usize, done: &mut FaultLog) -> io::Result<()> {
+    if cluster.upstreams.len() <= 2 {
         return Ok(());
     }
-    calm(scene).await?;
-    tokio::time::sleep(CALM).await;
-    revive(scene)?;
-    if !scene.all_serve(CALM).await {
+    clear_faults(cluster).await?;
+    tokio::time::sleep(QUIET_TIME).await;
+    restart_ended(cluster)?;
+    if !cluster.all_serve(QUIET_TIME).await {
         return Ok(());
     }
-    scene.register(&scene.upstreams[n], "draining");
-    tokio::time::sleep(LEAVE_BOUND).await;
+    cluster.register(&cluster.upstreams[n], "draining");
+    tokio::time::sleep(DRAIN_GRACE).await;
     let since = Instant::now();
-    let before = scene.upstreams[n].worker.seen().len();
-    tokio::time::sleep(CALM).await;
-    let late = scene.upstreams[n].worker.seen().len() - before;
-    done.left.push(Left { late, since });
-    scene.retire(n);
+    let before = cluster.upstreams[n].worker.seen().len();
+    tokio::time::sleep(QUIET_TIME).await;
+    let late_requests = cluster.upstreams[n].worker.seen().len() - before;
+    done.departures.push(Departure {
+        late_requests,
+        since,
+    });
+    cluster.retire(n);
     Ok(())
 }
--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -1,7 +1,7 @@
 //! Tenants' keys in a soak, and the promises about them and about usage.
 
-use crate::cut::{Record, Trouble};
-use crate::judge::{Asked, Ran};
+use crate::checker::{ClientRequest, WorkerRun};
+use crate::disruption::{Disruption, Timeline};
 use serde_json::Value;
 use standin::{CloudCall, fixture};
 use std::time::{Duration, Instant};
@@ -16,20 +16,20 @@
 pub const HOLDER_GAP: Duration = Duration::from_millis(500);
 /// Time after which a key that was taken away must run nothing: the bound of the settings,
 /// and room for a busy machine.
-const BOUND: Duration = Duration::from_millis(2500);
+const REVOCATION_BOUND: Duration = Duration::from_millis(2500);
 /// Time without disturbance before a request for which the bound holds: the bound, and the
 /// time in which a process may still be out of touch.
-const IN_TOUCH: Duration = Duration::from_secs(7);
+const CONNECTED_TIME: Duration = Duration::from_secs(7);
 /// Part by which usage may be off.
-const TOLERANCE: f64 = 0.05;
+const USAGE_TOLERANCE: f64 = 0.05;
 
 /// The key that a request bears.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Key {
     /// A tenant's own, always in force.
-    Own(usize),
+    Permanent(usize),
     /// A tenant's second one, which comes and goes.
-    Second(usize),
+    Revocable(usize),
     /// That of the requests after the last fault.
     Last,
 }
@@ -40,8 +40,8 @@
         let tenant = client as usize % TENANTS;
         match (is_last, rng.u32(..4)) {
             (true, _) => Self::Last,
-            (false, 0) => Self::Second(tenant),
-            (false, _) => Self::Own(tenant),
+            (false, 0) => Self::Revocable(tenant),
+            (false, _) => Self::Permanent(tenant),
         }
     }
 
@@ -53,8 +53,8 @@
     /// The key itself.
     pub fn text(self) -> String {
         match self {
-            Self::Own(tenant) => format!("own-key-{tenant}"),
-            Self::Second(tenant) => format!("second-key-{tenant}"),
+            Self::Permanent(tenant) => format!("own-key-{tenant}"),
+            Self::Revocable(tenant) => format!("second-key-{tenant}"),
             Self::Last => "last-key".into(),
         }
     }
@@ -62,7 +62,7 @@
     /// Name of the tenant that holds it.
     pub fn tenant(self) -> String {
         match self {
-            Self::Own(tenant) | Self::Second(tenant) => tenant_name(tenant),
+            Self::Permanent(tenant) | Self::Revocable(tenant) => tenant_name(tenant),
             Self::Last => LAST_TENANT.into(),
         }
     }
@@ -74,7 +74,7 @@
 
 /// A time in which a second key was out of force.
 #[derive(Debug, Clone)]
-pub struct Removed {
+pub struct Revocation {
     /// Its tenant.
     pub tenant: usize,
     /// Since when.
@@ -87,18 +87,18 @@
 #[derive(Debug, Default)]
 pub struct Keys {
     /// Times in which second keys were out of force.
-    pub removed: Vec<Removed>,
+    pub revocations: Vec<Revocation>,
     /// Times in which the store didn't serve a gateway, or none of them.
-    pub store_troubles: Vec<Trouble>,
+    pub store_disruptions: Vec<Disruption>,
 }
 
 impl Keys {
     /// Takes a tenant's second key away, or gives it back.
     pub fn toggle(&mut self, tenant: usize, now: Instant) {
-        let mut removed = self.removed.iter_mut();
-        match removed.find(|r| r.tenant == tenant && r.until.is_none()) {
-            Some(removed) => removed.until = Some(now),
-            None => self.removed.push(Removed {
+        let mut revocations = self.revocations.iter_mut();
+        match revocations.find(|r| r.tenant == tenant && r.until.is_none()) {
+            Some(revocation) => revocation.until = Some(now),
+            None => self.revocations.push(Revocation {
                 tenant,
                 from: now,
                 until: None,
@@ -109,13 +109,13 @@
     /// The tenants as a configuration has them.
     pub fn configured(&self) -> Vec<Value> {
         let is_removed = |tenant| {
-            let mut removed = self.removed.iter();
-            removed.any(|r| r.tenant == tenant && r.until.is_none())
+            let mut revocations = self.revocations.iter();
+            revocations.any(|r| r.tenant == tenant && r.until.is_none())
         };
         let tenant = |tenant| {
-            let mut keys = vec![Key::Own(tenant).text()];
+            let mut keys = vec![Key::Permanent(tenant).text()];
             if !is_removed(tenant) {
-                keys.push(Key::Second(tenant).text());
+                keys.push(Key::Revocable(tenant).text());
             }
             fixture::tenant(&tenant_name(tenant), &keys)
         };
@@ -125,12 +125,12 @@
     }
 
     /// Notes that the store serves a gateway, or all of them, or that it doesn't.
-    pub fn note_store(&mut self, gateway: Option<usize>, serves: bool, now: Instant) {
-        let troubles = self.store_troubles.iter_mut();
-        let mut open = troubles.filter(|t| t.gateway == gateway && t.until.is_none());
+    pub fn record_store(&mut self, gateway: Option<usize>, serves: bool, now: Instant) {
+        let disruptions = self.store_disruptions.iter_mut();
+        let mut open = disruptions.filter(|t| t.gateway == gateway && t.until.is_none());
         match (open.next(), serves) {
             (Some(trouble), true) => trouble.until = Some(now),
-            (None, false) => self.store_troubles.push(Trouble {
+            (None, false) => self.store_disruptions.push(Disruption {
                 gateway,
                 from: now,
                 until: None,
@@ -141,46 +141,49 @@
 
     /// Whether a request was sent with a key that had been out of force for longer than the
     /// bound, to a gateway in touch: by the store, or by peers that are.
-    fn is_too_late(&self, asked: &Asked, record: &Record) -> bool {
-        let (Key::Second(tenant), Some(sent)) = (asked.key, asked.way.sent) else {
+    fn ran_after_revocation(&self, request: &ClientRequest, timeline: &Timeline) -> bool {
+        let (Key::Revocable(tenant), Some(sent)) = (request.key, request.delivery.sent) else {
             return false;
         };
-        let is_out = |r: &Removed| {
-            r.tenant == tenant && r.from + BOUND <= sent && r.until.is_none_or(|u| sent < u)
+        let was_revoked = |r: &Revocation| {
+            r.tenant == tenant
+                && r.from + REVOCATION_BOUND <= sent
+                && r.until.is_none_or(|u| sent < u)
         };
-        self.removed.iter().any(is_out) && self.is_in_touch(asked.way.gateway, sent, record)
+        self.revocations.iter().any(was_revoked)
+            && self.is_connected(request.delivery.gateway, sent, timeline)
     }
 
-    fn is_in_touch(&self, gateway: usize, at: Instant, record: &Record) -> bool {
-        let since = at.checked_sub(IN_TOUCH).unwrap_or(at);
-        let is_near = |t: &&Trouble| t.from <= at && t.until.is_none_or(|u| u >= since);
-        let store: Vec<&Trouble> = self.store_troubles.iter().filter(is_near).collect();
-        let processes = record.troubles.iter().filter(|t| t.gateway.is_some());
-        let processes: Vec<&Trouble> = processes.filter(is_near).collect();
-        let is_own = |t: &&&Trouble| t.gateway == Some(gateway);
+    fn is_connected(&self, gateway: usize, at: Instant, timeline: &Timeline) -> bool {
+        let since = at.checked_sub(CONNECTED_TIME).unwrap_or(at);
+        let is_near = |t: &&Disruption| t.from <= at && t.until.is_none_or(|u| u >= since);
+        let store: Vec<&Disruption> = self.store_disruptions.iter().filter(is_near).collect();
+        let processes = timeline.disruptions.iter().filter(|t| t.gateway.is_some());
+        let processes: Vec<&Disruption> = processes.filter(is_near).collect();
+        let is_own = |t: &&&Disruption| t.gateway == Some(gateway);
         if store.iter().any(|t| t.gateway.is_none()) || processes.iter().any(|t| is_own(&t)) {
             return false;
         }
         // Cut off from the store alone, it hears from its peers, if these are well.
-        let others_are_well = processes.is_empty() && store.iter().all(|t| is_own(&t));
-        others_are_well || !store.iter().any(|t| is_own(&t))
+        let others_are_connected = processes.is_empty() && store.iter().all(|t| is_own(&t));
+        others_are_connected || !store.iter().any(|t| is_own(&t))
     }
 
     /// Whether a request's key was taken away while it was under way, or just before.
-    pub fn changed_under(&self, asked: &Asked) -> bool {
-        let (Key::Second(tenant), Some(sent)) = (asked.key, asked.way.sent) else {
+    pub fn is_revoked_during(&self, request: &ClientRequest) -> bool {
+        let (Key::Revocable(tenant), Some(sent)) = (request.key, request.delivery.sent) else {
             return false;
         };
-        let since = sent.checked_sub(IN_TOUCH).unwrap_or(sent);
-        let near = |r: &&Removed| r.tenant == tenant && r.from <= asked.way.ended;
-        let mut removed = self.removed.iter().filter(near);
-        removed.any(|r| r.until.is_none_or(|u| u >= since))
+        let since = sent.checked_sub(CONNECTED_TIME).unwrap_or(sent);
+        let overlaps = |r: &&Revocation| r.tenant == tenant && r.from <= request.delivery.ended;
+        let mut revocations = self.revocations.iter().filter(overlaps);
+        revocations.any(|r| r.until.is_none_or(|u| u >= since))
     }
 }
 
 /// Counts of broken promises about keys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct KeyFaults {
+pub struct KeyViolations {
     /// Runs under another tenant than the key's, or that were shown the key.
     pub told_wrongly: usize,
     /// Requests that ran though their key had been out of force for longer than the bound.
@@ -190,26 +193,31 @@
 }
 
 /// Judges requests with their runs, these in the order of their requests' ids.
-pub fn judge_keys(asked: &[Asked], runs: &[&Ran], keys: &Keys, record: &Record) -> KeyFaults {
-    let mut out = KeyFaults::default();
-    for asked in asked {
-        let own = crate::judge::own(runs, &asked.id);
-        let tenant = asked.key.tenant();
-        let is_wrong = |r: &&&Ran| r.shows_key || r.tenant.as_deref() != Some(&tenant);
-        out.told_wrongly += own.iter().filter(is_wrong).count();
-        if !own.is_empty() && keys.is_too_late(asked, record) {
-            println!("ran without its key: {asked:?}");
+pub fn check_keys(
+    requests: &[ClientRequest],
+    runs: &[&WorkerRun],
+    keys: &Keys,
+    timeline: &Timeline,
+) -> KeyViolations {
+    let mut out = KeyViolations::default();
+    for request in requests {
+        let own_runs = crate::checker::runs_of(runs, &request.id);
+        let tenant = request.key.tenant();
+        let is_wrong = |r: &&&WorkerRun| r.shows_key || r.tenant.as_deref() != Some(&tenant);
+        out.told_wrongly += own_runs.iter().filter(is_wrong).count();
+        if !own_runs.is_empty() && keys.ran_after_revocation(request, timeline) {
+            println!("ran without its key: {request:?}");
             out.ran_without_key += 1;
         }
-        let is_denied = matches!(asked.end, crate::judge::End::Whole(401, _));
-        out.denied += usize::from(is_denied && !matches!(asked.key, Key::Second(_)));
+        let is_denied = matches!(request.end, crate::checker::RequestEnd::Whole(401, _));
+        out.denied += usize::from(is_denied && !matches!(request.key, Key::Revocable(_)));
     }
     out
 }
 
 /// Counts of broken promises about reports of usage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct UsageFaults {
+pub struct UsageViolations {
     /// Windows with two reports that differ.
     pub reported_twice: usize,
     /// Reports under a token that is lower than one before, or that two holders used.
@@ -220,8 +228,8 @@
 
 /// Judges the reports that reached the platform; `last` is how many requests of the last
 /// tenant ran.
-pub fn judge_usage(calls: &[CloudCall], last: usize) -> UsageFaults {
-    let mut out = UsageFaults::default();
+pub fn check_usage(calls: &[CloudCall], last: usize) -> UsageViolations {
+    let mut out = UsageViolations::default();
     let mut bodies: Vec<(u64, &str)> = calls
         .iter()
         .map(|c| (c.window(), c.text.as_str()))
@@ -237,9 +245,9 @@
         falls || (is_other && (is_early || pair[1].token == pair[0].token))
     };
     out.badly_fenced = calls.windows(2).filter(is_bad).count();
-    let reported = reported_last(calls) as f64;
+    let reported = reported_requests(calls) as f64;
     let off = (reported - last as f64).abs();
-    if off > last as f64 * TOLERANCE {
+    if off > last as f64 * USAGE_TOLERANCE {
         println!("{reported} of {last} requests of the last tenant were reported");
         out.usage_off = 1;
     }
@@ -247,7 +255,7 @@
 }
 
 /// Requests of the last tenant that were reported, each window once.
-pub fn reported_last(calls: &[CloudCall]) -> u64 {
+pub fn reported_requests(calls: &[CloudCall]) -> u64 {
     let mut windows: Vec<(u64, u64)> = calls
         .iter()
         .map(|c| (c.window(), c.count(LAST_TENANT)))
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,12 @@
 //! A fault soak: gateways as real processes before stand-ins, faults from outside
 //! them, and promises checked from what clients and workers see.
 
+pub mod checker;
 pub mod client;
-pub mod cut;
-pub mod deadly;
+pub mod cluster;
+pub mod crashing;
+pub mod disruption;
 pub mod fault;
-pub mod judge;
 pub mod keys;
-pub mod scene;
 pub mod schedule;
 pub mod stops;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -4,13 +4,16 @@
 use argh::FromArgs;
 use bench::procs::build_binary;
 use serde::Serialize;
+use soak::checker::{
+    ClientRequest, RequestEnd, Verdict, WorkerRun, check_history, has_foreign_body, runs_of,
+    sort_by_id,
+};
 use soak::client::{self, History, Pace, Phase, Slow};
-use soak::cut::{Record, is_cut};
-use soak::judge::{Asked, End, Ran, Verdict, is_foreign, judge, own, sorted};
-use soak::keys::{Key, LAST_TENANT, TENANTS, judge_usage, reported_last};
-use soak::scene::{DEADLY, Scene, Upstream};
+use soak::cluster::{CRASHING_BODY, Cluster, Upstream};
+use soak::disruption::{Timeline, is_aborted};
+use soak::keys::{Key, LAST_TENANT, TENANTS, check_usage, reported_requests};
 use soak::schedule::{self, Schedule};
-use soak::{deadly, fault, stops};
+use soak::{crashing, fault, stops};
 use standin::Seen;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -18,13 +21,13 @@
 use tokio::sync::watch;
 
 /// Longest time after the last fault until all gateways serve.
-const RECOVERY: Duration = Duration::from_secs(12);
+const RECOVERY_BOUND: Duration = Duration::from_secs(12);
 /// Time with requests after the last fault, whose usage must be right.
-const LAST_PHASE: Duration = Duration::from_secs(3);
+const LAST_PHASE_TIME: Duration = Duration::from_secs(3);
 /// Longest wait for its reports: their due time.
-const REPORTS: Duration = Duration::from_secs(13);
+const REPORT_BOUND: Duration = Duration::from_secs(13);
 /// Longest wait for requests that are under way at the end.
-const LAST_REQUESTS: Duration = Duration::from_secs(7);
+const LAST_REQUESTS_BOUND: Duration = Duration::from_secs(7);
 
 /// Random faults over gateways that run as processes, by a seed.
 #[derive(Debug, FromArgs)]
@@ -92,11 +95,11 @@
     let dir = std::env::temp_dir().join(format!("soak-{}-{}", std::process::id(), args.seed));
     std::fs::create_dir_all(&dir)?;
     println!("settings and logs: {}", dir.display());
-    let mut scene = Scene::start(args.net, &binary, &dir).await?;
-    scene.all_serve(RECOVERY).await;
+    let mut cluster = Cluster::start(args.net, &binary, &dir).await?;
+    cluster.all_serve(RECOVERY_BOUND).await;
     let history = History::default();
     let stop = watch::Sender::new(Phase::Faults);
-    let addresses: Vec<_> = scene.gateways.iter().map(|g| g.callers).collect();
+    let addresses: Vec<_> = cluster.gateways.iter().map(|g| g.client_addr).collect();
     let slow = Slow {
         longest_ms: args.longest_ms,
         one_in: args.one_in,
@@ -108,67 +111,80 @@
                 false => Pace::Slow(slow),
             };
             let seed = args.seed.wrapping_mul(1000) + u64::from(n);
-            let (to, history) = (addresses.clone(), history.clone());
-            tokio::spawn(client::run(n, pace, to, history, stop.subscribe(), seed))
+            let (gateways, history) = (addresses.clone(), history.clone());
+            tokio::spawn(client::run(
+                n,
+                pace,
+                gateways,
+                history,
+                stop.subscribe(),
+                seed,
+            ))
         })
         .collect();
     let until = Instant::now() + Duration::from_secs(args.seconds);
     let done = match args.stops {
-        true => stops::run(&mut scene, args.seed, until).await?,
+        true => stops::run(&mut cluster, args.seed, until).await?,
         false => {
             let schedule = match &args.schedule {
                 Some(path) => Schedule::read(path)?,
-                None => Schedule::drawn(args.seed),
+                None => Schedule::from_seed(args.seed),
             };
-            fault::run(&mut scene, schedule, until).await?
+            fault::run(&mut cluster, schedule, until).await?
         }
     };
     schedule::write(&dir.join("schedule.jsonl"), &done.steps)?;
-    fault::calm(&mut scene).await?;
-    let recovered = fault::recover(&mut scene, RECOVERY).await?;
+    fault::clear_faults(&mut cluster).await?;
+    let recovered = fault::recover(&mut cluster, RECOVERY_BOUND).await?;
     stop.send_replace(Phase::Last);
-    tokio::time::sleep(LAST_PHASE).await;
+    tokio::time::sleep(LAST_PHASE_TIME).await;
     stop.send_replace(Phase::Over);
     for client in clients {
         // A client that hangs is ended with the runtime; its last request is open.
-        let _ = tokio::time::timeout(LAST_REQUESTS, client).await;
+        let _ = tokio::time::timeout(LAST_REQUESTS_BOUND, client).await;
     }
-    let sent_again = deadly::sent_again(&scene).await;
-    let asked = history.lock().expect("no panic while locked").clone();
-    for asked in asked.iter().filter(|a| is_foreign(a)) {
-        println!("not its own body: {asked:?}");
+    let sent_again = crashing::sent_again(&cluster).await;
+    let requests = history.lock().expect("no panic while locked").clone();
+    for request in requests.iter().filter(|a| has_foreign_body(a)) {
+        println!("not its own body: {request:?}");
     }
-    let all = scene.upstreams.iter().chain(&scene.engines);
-    let ran = runs(all.chain(&scene.gone));
-    let mut verdict = judge(&asked, &ran, &done.left, &scene.record, &scene.keys);
-    let last = last_requests(&ran);
-    wait_reported(&scene, last).await;
-    let of_usage = judge_usage(&scene.cloud.calls(), last);
+    let all = cluster.upstreams.iter().chain(&cluster.engines);
+    let runs = worker_runs(all.chain(&cluster.removed_upstreams));
+    let mut verdict = check_history(
+        &requests,
+        &runs,
+        &done.departures,
+        &cluster.timeline,
+        &cluster.keys,
+    );
+    let last = count_last_tenant(&runs);
+    wait_for_reports(&cluster, last).await;
+    let of_usage = check_usage(&cluster.cloud.calls(), last);
     verdict.reported_twice = of_usage.reported_twice;
     verdict.badly_fenced = of_usage.badly_fenced;
     verdict.usage_off = of_usage.usage_off;
     verdict.keys_logged = keys_logged(&dir)?;
     verdict.sent_again = sent_again;
     verdict.not_recovered = usize::from(!recovered);
-    let is_served = |a: &&Asked| matches!(a.end, End::Whole(200, _));
+    let is_served = |a: &&ClientRequest| matches!(a.end, RequestEnd::Whole(200, _));
     Ok(Summary {
         seed: args.seed,
         seconds: args.seconds,
-        requests: asked.len(),
-        served: asked.iter().filter(is_served).count(),
-        runs: ran.len(),
+        requests: requests.len(),
+        served: requests.iter().filter(is_served).count(),
+        runs: runs.len(),
         faults: done.faults,
-        deadly: scene.deadly.len(),
-        leaves: done.left.len(),
-        stops: scene.record.stops.len(),
-        in_stops: in_stops(&asked, &ran, &scene.record),
+        deadly: cluster.crashing_requests.len(),
+        leaves: done.departures.len(),
+        stops: cluster.timeline.stops.len(),
+        in_stops: in_stops(&requests, &runs, &cluster.timeline),
         verdict,
     })
 }
 
 /// Requests of the last tenant that ran, each once.
-fn last_requests(ran: &[Ran]) -> usize {
-    let last = ran
+fn count_last_tenant(runs: &[WorkerRun]) -> usize {
+    let last = runs
         .iter()
         .filter(|r| r.tenant.as_deref() == Some(LAST_TENANT));
     let mut ids: Vec<&str> = last.map(|r| r.id.as_str()).collect();
@@ -178,16 +194,16 @@
 }
 
 /// Waits until so many requests of the last tenant are reported, at most for a time.
-async fn wait_reported(scene: &Scene, last: usize) {
-    let until = Instant::now() + REPORTS;
-    while Instant::now() < until && reported_last(&scene.cloud.calls()) < last as u64 {
+async fn wait_for_reports(cluster: &Cluster, last: usize) {
+    let until = Instant::now() + REPORT_BOUND;
+    while Instant::now() < until && reported_requests(&cluster.cloud.calls()) < last as u64 {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
 /// Logs of processes in a folder in which some key stands.
 fn keys_logged(dir: &Path) -> std::io::Result<usize> {
-    let keys = (0..TENANTS).flat_map(|n| [Key::Own(n), Key::Second(n)]);
+    let keys = (0..TENANTS).flat_map(|n| [Key::Permanent(n), Key::Revocable(n)]);
     let texts: Vec<String> = keys.chain([Key::Last]).map(Key::text).collect();
     let mut found = 0;
     for entry in std::fs::read_dir(dir)? {
@@ -202,19 +218,22 @@
 
 /// Counts requests that came to a process under a planned stop alone; prints what was
 /// cut, with the times since the signal at which it was sent and ended.
-fn in_stops(asked: &[Asked], ran: &[Ran], record: &Record) -> usize {
-    let runs = sorted(ran);
+fn in_stops(requests: &[ClientRequest], runs: &[WorkerRun], timeline: &Timeline) -> usize {
+    let runs = sort_by_id(runs);
     let mut count = 0;
-    for asked in asked {
-        let own = own(&runs, &asked.id);
-        let (Some(stop), Some(sent)) = (record.stop_of(asked, own), asked.way.sent) else {
+    for request in requests {
+        let own_runs = runs_of(&runs, &request.id);
+        let (Some(stop), Some(sent)) = (
+            timeline.stop_to_blame(request, own_runs),
+            request.delivery.sent,
+        ) else {
             continue;
         };
         count += usize::from(sent > stop.signal);
-        if is_cut(asked, own) {
+        if is_aborted(request, own_runs) {
             let sent = sent.saturating_duration_since(stop.signal);
-            let ended = asked.way.ended.duration_since(stop.signal);
-            let (id, end, to) = (&asked.id, &asked.end, stop.gateway);
+            let ended = request.delivery.ended.duration_since(stop.signal);
+            let (id, end, to) = (&request.id, &request.end, stop.gateway);
             println!("cut by a stop of {to}: {id}, sent {sent:?}, ended {ended:?}: {end:?}");
         }
     }
@@ -223,16 +242,16 @@
 
 /// What workers saw, but for the soak's own probes, what crashes workers, and what gateways
 /// ask engines.
-fn runs<'a>(upstreams: impl Iterator<Item = &'a Upstream>) -> Vec<Ran> {
+fn worker_runs<'a>(upstreams: impl Iterator<Item = &'a Upstream>) -> Vec<WorkerRun> {
     let seen = upstreams.flat_map(|u| u.worker.seen());
-    let is_asked = |s: &Seen| !matches!(s.path.as_str(), "/report" | "/order");
-    let ran = seen.filter(|s| s.ran && is_asked(s)).map(|s| Ran {
+    let is_request = |s: &Seen| !matches!(s.path.as_str(), "/report" | "/order");
+    let runs = seen.filter(|s| s.ran && is_request(s)).map(|s| WorkerRun {
         id: s.id().to_owned(),
         resumed_after: s.resumed_after(),
         by_script: s.by_script,
         tenant: s.header("tenant").map(str::to_owned),
         shows_key: s.header("key").is_some(),
     });
-    let is_own = |r: &Ran| r.id == "probe" || r.id.starts_with(DEADLY);
-    ran.filter(|r| !is_own(r)).collect()
+    let is_probe = |r: &WorkerRun| r.id == "probe" || r.id.starts_with(CRASHING_BODY);
+    runs.filter(|r| !is_probe(r)).collect()
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -23,28 +23,28 @@
 #[derive(Debug)]
 pub enum Schedule {
     /// Chance.
-    Drawn(fastrand::Rng),
+    Random(fastrand::Rng),
     /// A file, the next one first.
-    Kept(std::vec::IntoIter<Step>),
+    File(std::vec::IntoIter<Step>),
 }
 
 impl Schedule {
     /// One that a seed draws.
-    pub fn drawn(seed: u64) -> Self {
-        Self::Drawn(fastrand::Rng::with_seed(seed))
+    pub fn from_seed(seed: u64) -> Self {
+        Self::Random(fastrand::Rng::with_seed(seed))
     }
 
     /// Reads one from a file, a step a line.
     pub fn read(path: &Path) -> io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         let steps: Result<Vec<Step>, _> = text.lines().map(serde_json::from_str).collect();
-        Ok(Self::Kept(steps?.into_iter()))
+        Ok(Self::File(steps?.into_iter()))
     }
 
     /// The next step, with what its parameters are drawn from; none if a file has no more.
     pub fn next_step(&mut self) -> Option<(Step, fastrand::Rng)> {
         match self {
-            Self::Drawn(rng) => {
+            Self::Random(rng) => {
                 let (pause_ms, fault) = Fault::draw(rng);
                 let state = rng.get_seed();
                 Some((
@@ -56,7 +56,7 @@
                     rng.clone(),
                 ))
             }
-            Self::Kept(steps) => {
+            Self::File(steps) => {
                 let step = steps.next()?;
                 Some((step, fastrand::Rng::with_seed(step.state)))
             }
@@ -64,8 +64,8 @@
     }
 
     /// Takes what was drawn for a step, so that the next follows from it.
-    pub fn drew(&mut self, after: fastrand::Rng) {
-        if let Self::Drawn(rng) = self {
+    pub fn advance(&mut self, after: fastrand::Rng) {
+        if let Self::Random(rng) = self {
             *rng = after;
         }
     }
