--- /dev/null
+++ b/crates/soak/tests/checker.rs
@@ -0,0 +1,467 @@
+//! A history with each broken promise is rejected.
+
+use soak::checker::{
+    ClientRequest, Departure, RequestEnd, RequestKind, Verdict, WorkerRun, check_history,
+};
+use soak::disruption::{Delivery, Disruption, PlannedStop, STOP_GRACE, Timeline};
+use soak::keys::{Key, Keys, check_usage};
+use std::time::{Duration, Instant};
+
+fn request(id: &str, kind: RequestKind, status: u16, body: &str) -> ClientRequest {
+    ClientRequest {
+        id: id.into(),
+        kind,
+        end: RequestEnd::Whole(status, body.into()),
+        delivery: delivery(),
+        key: Key::Permanent(0),
+    }
+}
+
+/// A way that no stop has to do with.
+fn delivery() -> Delivery {
+    Delivery {
+        gateway: 0,
+        sent: None,
+        ended: Instant::now(),
+        answer_started: true,
+    }
+}
+
+fn run(id: &str) -> WorkerRun {
+    WorkerRun {
+        id: id.into(),
+        resumed_after: None,
+        by_script: false,
+        tenant: Some(Key::Permanent(0).tenant()),
+        shows_key: false,
+    }
+}
+
+const STREAM: &str = "id: 1\nid: 2\nid: 3\nid: 4\n";
+
+fn good() -> (Vec<ClientRequest>, Vec<WorkerRun>) {
+    let requests = vec![
+        request("a", RequestKind::Idempotent, 200, "a"),
+        request("b", RequestKind::NonIdempotent, 200, "b"),
+        request("c", RequestKind::NonIdempotent, 503, "{}"),
+        request("d", RequestKind::Resumable, 200, STREAM),
+        ClientRequest {
+            id: "e".into(),
+            kind: RequestKind::NonIdempotent,
+            end: RequestEnd::Broken,
+            delivery: delivery(),
+            key: Key::Permanent(0),
+        },
+    ];
+    (
+        requests,
+        vec![run("a"), run("a"), run("b"), run("d"), run("e")],
+    )
+}
+
+#[test]
+fn a_good_history_is_clean() {
+    let (requests, runs) = good();
+    assert!(
+        check_history(
+            &requests,
+            &runs,
+            &[],
+            &Timeline::default(),
+            &Keys::default()
+        )
+        .is_clean()
+    );
+}
+
+#[test]
+fn each_violation_is_counted() {
+    let none = Verdict::default();
+    let cases = [
+        (
+            request("x", RequestKind::NonIdempotent, 200, "y"),
+            vec![run("x")],
+            Verdict { mixed: 1, ..none },
+        ),
+        (
+            request("x", RequestKind::Idempotent, 200, "xx"),
+            vec![run("x")],
+            Verdict { mixed: 1, ..none },
+        ),
+        (
+            request("x", RequestKind::NonIdempotent, 200, "x"),
+            vec![run("x"), run("x")],
+            Verdict { twice: 1, ..none },
+        ),
+        (
+            request("x", RequestKind::NonIdempotent, 503, ""),
+            vec![run("x")],
+            Verdict {
+                refused_but_ran: 1,
+                ..none
+            },
+        ),
+        (
+            request("x", RequestKind::Idempotent, 400, "{}"),
+            vec![],
+            Verdict {
+                held_wrongly: 1,
+                ..none
+            },
+        ),
+        (
+            request("x", RequestKind::NonIdempotent, 200, "x"),
+            vec![run("x"), run("?")],
+            Verdict { unasked: 1, ..none },
+        ),
+        (
+            request("x", RequestKind::Resumable, 200, "id: 1\nid: 3\nid: 4\n"),
+            vec![run("x")],
+            Verdict {
+                disordered: 1,
+                ..none
+            },
+        ),
+        (
+            request(
+                "x",
+                RequestKind::Resumable,
+                200,
+                "id: 1\nid: 2\nid: 2\nid: 3\nid: 4\n",
+            ),
+            vec![run("x")],
+            Verdict {
+                disordered: 1,
+                ..none
+            },
+        ),
+        (
+            request("x", RequestKind::Resumable, 200, "id: 1\nid: 2\n"),
+            vec![run("x")],
+            Verdict {
+                disordered: 1,
+                ..none
+            },
+        ),
+    ];
+    let stream = |body| request("x", RequestKind::Stream, 200, body);
+    let cases = cases.into_iter().chain([
+        (
+            stream("id: 1\nid: 3\nid: 4\n"),
+            vec![run("x")],
+            Verdict {
+                disordered: 1,
+                ..none
+            },
+        ),
+        (
+            stream(STREAM),
+            vec![run("x"), run("x")],
+            Verdict { twice: 1, ..none },
+        ),
+        (
+            request("x", RequestKind::Stream, 503, ""),
+            vec![run("x")],
+            Verdict {
+                refused_but_ran: 1,
+                ..none
+            },
+        ),
+    ]);
+    for (bad, runs, expected) in cases {
+        let (mut requests, mut all) = good();
+        requests.push(bad.clone());
+        all.extend(runs);
+        assert_eq!(
+            check_history(&requests, &all, &[], &Timeline::default(), &Keys::default()),
+            expected,
+            "{bad:?}"
+        );
+    }
+    let (requests, runs) = good();
+    let late = Departure {
+        late_requests: 2,
+        since: Instant::now(),
+    };
+    assert_eq!(
+        check_history(
+            &requests,
+            &runs,
+            &[late],
+            &Timeline::default(),
+            &Keys::default()
+        )
+        .late_at_leaving,
+        2
+    );
+}
+
+/// Seconds after the signal of the stop that the cases below have.
+type AfterSignal = f64;
+
+/// Long before and after all of a case, in seconds.
+const FAR: f64 = 30.0;
+
+struct StopCase {
+    signal: Instant,
+}
+
+impl StopCase {
+    fn at(&self, s: AfterSignal) -> Instant {
+        let since = self.signal - Duration::from_secs_f64(FAR);
+        since + Duration::from_secs_f64(FAR + s)
+    }
+
+    /// A request that a worker ran, under the times of the recorded one.
+    fn cut(&self, end: RequestEnd, sent: AfterSignal, ended: AfterSignal) -> ClientRequest {
+        ClientRequest {
+            id: "x".into(),
+            kind: RequestKind::NonIdempotent,
+            end,
+            delivery: Delivery {
+                gateway: 0,
+                sent: Some(self.at(sent)),
+                ended: self.at(ended),
+                answer_started: true,
+            },
+            key: Key::Permanent(0),
+        }
+    }
+
+    fn disruption(
+        &self,
+        gateway: Option<usize>,
+        from: AfterSignal,
+        until: AfterSignal,
+    ) -> Disruption {
+        Disruption {
+            gateway,
+            from: self.at(from),
+            until: Some(self.at(until)),
+        }
+    }
+
+    /// Counts of what was cut, with a process that is stopped and ends in its grace.
+    fn count_cut(
+        &self,
+        request: &ClientRequest,
+        runs: &[WorkerRun],
+        disruptions: Vec<Disruption>,
+    ) -> usize {
+        let stop = PlannedStop {
+            gateway: 0,
+            signal: self.signal,
+            until: Some(self.signal + STOP_GRACE),
+        };
+        let timeline = Timeline {
+            stops: vec![stop],
+            disruptions,
+        };
+        check_history(
+            std::slice::from_ref(request),
+            runs,
+            &[],
+            &timeline,
+            &Keys::default(),
+        )
+        .cut_by_stop
+    }
+}
+
+#[test]
+fn answers_cut_by_a_stop_are_counted() {
+    let stop = StopCase {
+        signal: Instant::now() + Duration::from_secs_f64(FAR),
+    };
+    let answer = |status| RequestEnd::Whole(status, "{}".into());
+    let runs = [run("x")];
+    // As in the incident, at the process's end and before it.
+    let late = stop.cut(RequestEnd::Broken, 3.985, 7.455);
+    assert_eq!(stop.count_cut(&late, &runs, vec![]), 1, "broken off late");
+    let early = stop.cut(RequestEnd::Broken, 1.0, 2.4);
+    assert_eq!(stop.count_cut(&early, &runs, vec![]), 1, "broken off early");
+    let before = stop.cut(RequestEnd::Broken, -0.5, 2.4);
+    assert_eq!(stop.count_cut(&before, &runs, vec![]), 1, "taken before it");
+    for status in [502, 504] {
+        let answered = stop.cut(answer(status), 5.5, 7.4);
+        assert_eq!(stop.count_cut(&answered, &runs, vec![]), 1, "{status}");
+        assert_eq!(
+            stop.count_cut(&answered, &[], vec![]),
+            1,
+            "{status} without a run"
+        );
+    }
+    let mut silent = late.clone();
+    silent.delivery.answer_started = false;
+    assert_eq!(
+        stop.count_cut(&silent, &runs, vec![]),
+        1,
+        "no byte of an answer"
+    );
+    let mut begun = silent.clone();
+    begun.delivery.answer_started = true;
+    assert_eq!(stop.count_cut(&begun, &[], vec![]), 1, "no run was seen");
+    // Faults that have long been over, or aren't this process's.
+    let others = vec![
+        stop.disruption(Some(1), -1.0, 8.0),
+        stop.disruption(Some(0), -9.0, -5.0),
+        stop.disruption(None, -1.0, 0.5),
+        stop.disruption(None, 7.6, 8.0),
+    ];
+    assert_eq!(stop.count_cut(&late, &runs, others), 1, "other faults");
+}
+
+#[test]
+fn answers_that_a_stop_may_cut_or_did_not_cut_are_not_counted() {
+    let stop = StopCase {
+        signal: Instant::now() + Duration::from_secs_f64(FAR),
+    };
+    let answer = |status| RequestEnd::Whole(status, "{}".into());
+    let runs = [run("x")];
+    let cut = stop.cut(RequestEnd::Broken, 3.985, 7.455);
+    for status in [200, 503, 429, 408, 404, 500] {
+        let whole = stop.cut(answer(status), 5.5, 7.4);
+        assert_eq!(stop.count_cut(&whole, &[], vec![]), 0, "{status}");
+    }
+    let early = stop.cut(RequestEnd::Broken, 2.9, 6.7);
+    assert_eq!(stop.count_cut(&early, &runs, vec![]), 0, "can't be ended");
+    let over = stop.cut(answer(504), 1.0, 5.0);
+    assert_eq!(stop.count_cut(&over, &runs, vec![]), 0, "its own deadline");
+    let ended = stop.cut(RequestEnd::Broken, -2.0, -0.1);
+    assert_eq!(stop.count_cut(&ended, &runs, vec![]), 0, "before the stop");
+    let next = stop.cut(RequestEnd::Broken, 8.1, 9.0);
+    assert_eq!(stop.count_cut(&next, &runs, vec![]), 0, "the next process");
+    let mut other = cut.clone();
+    other.delivery.gateway = 1;
+    assert_eq!(stop.count_cut(&other, &runs, vec![]), 0, "another process");
+    let mut unread = cut.clone();
+    unread.delivery.answer_started = false;
+    assert_eq!(stop.count_cut(&unread, &[], vec![]), 0, "never read");
+    let broken = [WorkerRun {
+        by_script: true,
+        ..run("x")
+    }];
+    assert_eq!(stop.count_cut(&cut, &broken, vec![]), 0, "broken upstream");
+    let excuses = [
+        (
+            "paused before the signal",
+            stop.disruption(Some(0), -2.0, -1.0),
+        ),
+        ("killed", stop.disruption(Some(0), 7.0, 8.0)),
+        ("a bad link just before it", stop.disruption(None, 0.0, 2.0)),
+        ("a bad link", stop.disruption(None, 5.0, 6.0)),
+    ];
+    for (why, disruption) in excuses {
+        assert_eq!(stop.count_cut(&cut, &runs, vec![disruption]), 0, "{why}");
+    }
+}
+
+/// A request with a tenant's second key, sent so many seconds after a time.
+fn revocable_request(after: f64, start: Instant) -> ClientRequest {
+    let mut request = request("s", RequestKind::Idempotent, 200, "s");
+    request.key = Key::Revocable(1);
+    request.delivery.sent = Some(start + Duration::from_secs_f64(after));
+    request.delivery.ended = start + Duration::from_secs_f64(after + 0.1);
+    request
+}
+
+fn run_for(id: &str, key: Key) -> WorkerRun {
+    WorkerRun {
+        tenant: Some(key.tenant()),
+        ..run(id)
+    }
+}
+
+#[test]
+fn a_revoked_key_runs_nothing_after_the_bound() {
+    let start = Instant::now();
+    let at = |s| start + Duration::from_secs_f64(s);
+    let late = |sent, keys: &Keys, timeline: &Timeline| {
+        let requests = [revocable_request(sent, start)];
+        check_history(
+            &requests,
+            &[run_for("s", Key::Revocable(1))],
+            &[],
+            timeline,
+            keys,
+        )
+        .ran_without_key
+    };
+    let mut keys = Keys::default();
+    keys.toggle(1, at(10.0));
+    keys.toggle(1, at(30.0));
+    let undisturbed = Timeline::default();
+    for (sent, expected) in [(9.0, 0), (12.0, 0), (13.0, 1), (29.0, 1), (30.5, 0)] {
+        assert_eq!(late(sent, &keys, &undisturbed), expected, "sent at {sent}");
+    }
+    // Cut off from the store alone, its peers tell it; with another that is cut off too,
+    // or while the store serves nobody, it may not know.
+    keys.record_store(Some(0), false, at(9.0));
+    assert_eq!(late(20.0, &keys, &undisturbed), 1);
+    keys.record_store(Some(1), false, at(15.0));
+    assert_eq!(late(20.0, &keys, &undisturbed), 0);
+    let mut keys = Keys::default();
+    keys.toggle(1, at(10.0));
+    keys.record_store(None, false, at(11.0));
+    keys.record_store(None, true, at(14.0));
+    assert_eq!(late(20.0, &keys, &undisturbed), 0);
+    assert_eq!(late(21.5, &keys, &undisturbed), 1);
+}
+
+#[test]
+fn a_wrong_tenant_an_exposed_key_and_a_denied_key_are_found() {
+    let keys = Keys::default();
+    let timeline = Timeline::default();
+    let plain = [request("a", RequestKind::Idempotent, 200, "a")];
+    let found = |run: WorkerRun| check_history(&plain, &[run], &[], &timeline, &keys).told_wrongly;
+    assert_eq!(found(run("a")), 0);
+    assert_eq!(found(run_for("a", Key::Permanent(1))), 1);
+    assert_eq!(
+        found(WorkerRun {
+            shows_key: true,
+            ..run("a")
+        }),
+        1
+    );
+    let denied = [request("a", RequestKind::Idempotent, 401, "{}")];
+    assert_eq!(check_history(&denied, &[], &[], &timeline, &keys).denied, 1);
+}
+
+fn report(window: u64, last: u64, holder: &str, token: u64, after: f64) -> standin::CloudCall {
+    let body = serde_json::json!({"WindowId": window, "Counts": {"last": last}});
+    standin::CloudCall {
+        at: fixed_instant() + Duration::from_secs_f64(after),
+        path: "/usage".into(),
+        holder: holder.into(),
+        token,
+        text: body.to_string(),
+        body,
+    }
+}
+
+/// One instant, the same at each call.
+fn fixed_instant() -> Instant {
+    static AT: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
+    *AT.get_or_init(Instant::now)
+}
+
+#[test]
+fn conflicting_badly_fenced_and_inaccurate_reports_are_found() {
+    let good = [
+        report(1, 40, "a", 1, 0.0),
+        report(1, 40, "a", 1, 0.1),
+        report(2, 58, "b", 2, 3.0),
+    ];
+    let found = check_usage(&good, 100);
+    assert_eq!(found, soak::keys::UsageViolations::default());
+    assert_eq!(check_usage(&good, 120).usage_off, 1);
+    assert_eq!(check_usage(&good, 90).usage_off, 1);
+    let differs = [report(1, 40, "a", 1, 0.0), report(1, 41, "a", 1, 1.0)];
+    assert_eq!(check_usage(&differs, 40).reported_twice, 1);
+    let falls = [report(1, 40, "a", 2, 0.0), report(2, 0, "a", 1, 1.0)];
+    assert_eq!(check_usage(&falls, 40).badly_fenced, 1);
+    let shared = [report(1, 40, "a", 2, 0.0), report(2, 0, "b", 2, 9.0)];
+    assert_eq!(check_usage(&shared, 40).badly_fenced, 1);
+    let early = [report(1, 40, "a", 1, 0.0), report(2, 0, "b", 2, 0.2)];
+    assert_eq!(check_usage(&early, 40).badly_fenced, 1);
+}
--- a/crates/soak/tests/recover.rs
+++ b/crates/soak/tests/recover.rs
@@ -1,8 +1,8 @@
 //! What the soak itself must do: processes that end are started anew, as on the platform.
 
 use bench::procs::{Signal, build_binary};
+use soak::cluster::Cluster;
 use soak::fault::recover;
-use soak::scene::Scene;
 use std::time::Duration;
 
 /// Far longer than a process takes to stop or to start.
@@ -12,20 +12,20 @@
 /// order two seconds later, nobody started it anew, and the soak took that for a
 /// process that doesn't recover.
 #[tokio::test]
-async fn a_process_that_ends_after_the_faults_is_started_anew() {
+async fn a_process_that_ends_after_the_faults_is_restarted() {
     let net = (std::process::id() % 100 + 20) as u8;
     let dir = std::env::temp_dir().join(format!("soak-recover-{net}"));
     std::fs::create_dir_all(&dir).unwrap();
     let binary = build_binary().await.unwrap();
-    let mut scene = Scene::start(net, &binary, &dir).await.unwrap();
-    assert!(scene.all_serve(BOUND).await, "all start");
-    let first = scene.gateways[0].proc.id();
-    scene.gateways[0].proc.signal(Signal::Term);
+    let mut cluster = Cluster::start(net, &binary, &dir).await.unwrap();
+    assert!(cluster.all_serve(BOUND).await, "all start");
+    let first = cluster.gateways[0].proc.id();
+    cluster.gateways[0].proc.signal(Signal::Term);
     let until = std::time::Instant::now() + BOUND;
-    while !scene.gateways[0].proc.has_ended() {
+    while !cluster.gateways[0].proc.has_ended() {
         assert!(std::time::Instant::now() < until, "it ends");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert!(recover(&mut scene, BOUND).await.unwrap());
-    assert_ne!(scene.gateways[0].proc.id(), first);
+    assert!(recover(&mut cluster, BOUND).await.unwrap());
+    assert_ne!(cluster.gateways[0].proc.id(), first);
 }
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -9,9 +9,9 @@
 }
 
 /// Steps as a run takes them, with some numbers drawn for each; gives these too.
-fn play(mut schedule: Schedule, most: usize) -> (Vec<Step>, Vec<u64>) {
+fn play(mut schedule: Schedule, max_steps: usize) -> (Vec<Step>, Vec<u64>) {
     let (mut steps, mut drawn) = (Vec::new(), Vec::new());
-    while steps.len() < most {
+    while steps.len() < max_steps {
         let Some((step, mut rng)) = schedule.next_step() else {
             break;
         };
@@ -19,15 +19,15 @@
         for _ in 0..steps.len() % 4 {
             drawn.push(rng.u64(..));
         }
-        schedule.drew(rng);
+        schedule.advance(rng);
         steps.push(step);
     }
     (steps, drawn)
 }
 
 #[test]
-fn a_file_plays_what_a_seed_drew() {
-    let (steps, drawn) = play(Schedule::drawn(7), 200);
+fn a_file_replays_the_faults_of_a_seed() {
+    let (steps, drawn) = play(Schedule::from_seed(7), 200);
     let path = file("seed-7");
     write(&path, &steps).unwrap();
     let (again, drawn_again) = play(Schedule::read(&path).unwrap(), 1000);
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_short_soak_keeps_all_promises() {
+fn a_short_soak_has_no_violations() {
     soak(FIRST_NET, &["--seed", "5", "--seconds", "6"]);
 }
 
@@ -36,7 +36,7 @@
 /// 5.2 s and more after its process's signal: nothing compared the time that an answer
 /// takes with the time that the process had left.
 #[test]
-fn planned_stops_in_series_cut_no_answer() {
+fn series_of_planned_stops_cut_no_answer() {
     let summary = soak(SECOND_NET, &["--stops", "--seed", "109", "--seconds", "10"]);
     assert!(summary["in_stops"].as_u64().unwrap() > 100, "{summary}");
 }
