--- a/crates/arbutusquay/src/args.rs
+++ b/crates/arbutusquay/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use crate::exit::Exit;
 use argh::{EarlyExit, FromArgs};
@@ -11,36 +11,36 @@
 /// unreachable, or outcome unknown.
 #[derive(Debug, FromArgs)]
 pub struct Args {
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// The commands of the binary.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// The entry process.
+    /// Runs an entry.
     Entry(EntryArgs),
-    /// The agent process.
+    /// Runs an agent.
     Agent(AgentArgs),
-    /// The gateway process.
+    /// Runs a gateway.
     Gateway(GatewayArgs),
     /// Checks a document.
     Check(CheckArgs),
-    /// Applies a document.
+    /// Puts a document in force.
     Apply(ApplyArgs),
-    /// Shows a document.
+    /// Prints the document of a service.
     Show(ShowArgs),
-    /// Shows the system's status.
+    /// Prints the system's status.
     Status(StatusArgs),
     /// Prints a service's report.
     Report(ReportArgs),
-    /// Prints a request's way through the logs.
+    /// Prints the log lines about a request.
     Explain(ExplainArgs),
 }
 
-/// run an entry: take callers' requests and choose an upstream for each
+/// run an entry, which accepts callers' requests and routes each to an upstream
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub struct EntryArgs {
@@ -49,7 +49,7 @@
     pub settings: PathBuf,
 }
 
-/// run an agent: the one way to its upstream
+/// run an agent, through which all requests to its upstream pass
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "agent")]
 pub struct AgentArgs {
@@ -58,13 +58,13 @@
     pub settings: PathBuf,
 }
 
-/// run a gateway on the users' platform: take clients' requests and pass each
-/// straight to an upstream. The platform's variable names the settings file
+/// run a gateway on the users' platform, which accepts clients' requests and passes each
+/// directly to an upstream. An environment variable of the platform names the settings file
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "gateway")]
 pub struct GatewayArgs {}
 
-/// check a document and print all its faults with line and column; changes nothing
+/// check a document and print all its faults with line and column, without applying it
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArgs {
@@ -73,9 +73,9 @@
     pub file: PathBuf,
 }
 
-/// put a document in force, if nobody has changed it since it was read. The
-/// version that was read stands in the file's line `# version: N`, as `show`
-/// writes it, or is given by --over; a service's first document goes over 0
+/// put a document in force, unless it was changed since it was read. The version that was
+/// read is given by the line `# version: N` in the file, as `show` writes it, or by --over.
+/// Use 0 for a service's first document
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyArgs {
@@ -85,7 +85,7 @@
     /// settings file, for the platform's addresses
     #[argh(option)]
     pub settings: PathBuf,
-    /// version that was read, in place of the file's line
+    /// version that was read, instead of the file's version line
     #[argh(option)]
     pub over: Option<u64>,
 }
@@ -102,7 +102,7 @@
     pub settings: PathBuf,
 }
 
-/// print documents in force, upstreams and their roles, leaving hosts, and who plans
+/// print documents in force, upstreams and their roles, leaving hosts, and the current planner
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
@@ -114,14 +114,14 @@
     pub json: bool,
 }
 
-/// print who was served, refused, delayed and unknown, and why
+/// print how many requests were served, refused, delayed or had an unknown outcome, and why
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "report")]
 pub struct ReportArgs {
     /// the service
     #[argh(option)]
     pub service: String,
-    /// only requests that ended in the last so-long, such as 30m or 24h
+    /// include only requests that ended within this duration before now, such as 30m or 24h
     #[argh(option)]
     pub since: Option<String>,
     /// settings file, for the platform's addresses
@@ -132,21 +132,21 @@
     pub json: bool,
 }
 
-/// print a request's way through the logs of several processes, in order of time,
-/// with what they believed of its upstreams and of their dependencies meanwhile; or
-/// what became of a window of usage
+/// print the log lines of several processes about a request, in order of time, with what these
+/// processes logged about its upstreams and their dependencies meanwhile; or the log lines about
+/// a usage window
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainArgs {
     /// the request's id, or window:NUMBER
     #[argh(positional)]
     pub id: String,
-    /// files with the processes' logs
+    /// log files of the processes
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Reads the command line. Help ends with 0, wrong usage with 2.
+/// Parses the command line. The exit code is 0 after help and 2 after wrong usage.
 pub fn parse() -> Result<Args, Exit> {
     let args: Vec<String> = std::env::args().collect();
     let rest: Vec<&str> = args.iter().skip(1).map(String::as_str).collect();
--- a/crates/arbutusquay/src/commands.rs
+++ b/crates/arbutusquay/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! The commands of the binary, and what they share.
 
 pub mod apply;
 pub mod check;
@@ -13,7 +13,7 @@
 use std::path::Path;
 use store::HttpPlatform;
 
-/// Reads a file, or says why not.
+/// Reads a file. Prints the error if that fails.
 fn read(path: &Path) -> Result<String, Exit> {
     std::fs::read_to_string(path).map_err(|e| {
         eprintln!("{}: {e}", path.display());
@@ -21,7 +21,7 @@
     })
 }
 
-/// Reads a settings file, or prints its faults.
+/// Reads a settings file. Prints its faults if it is invalid.
 fn settings(path: &Path) -> Result<Settings, Exit> {
     Settings::parse(&read(path)?).map_err(|faults| {
         print_faults(path, &faults);
@@ -29,7 +29,7 @@
     })
 }
 
-/// Reads a settings file for the platform's clients.
+/// Creates a client for the platform that a settings file names.
 fn platform(path: &Path) -> Result<HttpPlatform, Exit> {
     Ok(HttpPlatform::new(&settings(path)?.platform))
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Says that the platform wasn't reached.
+/// Prints an error of a call to the platform.
 fn report_unreachable(e: &store::Error) -> Exit {
     eprintln!("{e}");
     Exit::Unreachable
--- a/crates/arbutusquay/src/commands/apply.rs
+++ b/crates/arbutusquay/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts a document in force, conditional on the version that was read.
+//! `apply`: puts a document in force if its version is still the one that was read.
 
 use super::{platform, print_faults, read};
 use crate::args::ApplyArgs;
@@ -8,11 +8,11 @@
 use store::rows::{doc_key, head_key};
 use store::{HttpPlatform, Row, Table, Txn, WriteError};
 
-/// Beginning of the line with the version that was read.
+/// Start of the line with the version that was read.
 pub const VERSION_PREFIX: &str = "# version: ";
-/// Looks at the row after a write whose outcome is unknown.
+/// How often the row is read back after a write with an unknown outcome.
 const READ_BACK_ATTEMPTS: u32 = 5;
-/// Time between these looks.
+/// Pause before each of these reads.
 const READ_BACK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// Applies a document.
@@ -31,8 +31,9 @@
     })?;
     let Some(over) = args.over.or(file_version) else {
         eprintln!(
-            "say which version this document is over: the line `{VERSION_PREFIX}N` that `show` \
-             writes, or --over N (0 for a service's first document)"
+            "the version that this document replaces is missing: keep the line \
+             `{VERSION_PREFIX}N` that `show` writes, or give --over N (0 for a service's first \
+             document)"
         );
         return Err(Exit::Usage);
     };
@@ -58,8 +59,8 @@
     }
 }
 
-/// Takes the version's line, which isn't part of the document, off a file. The
-/// line is left blank, so that the places of faults stay right.
+/// Splits a file into the version from its version line and the document. The line is left blank
+/// in the document, so that the positions of faults stay correct.
 fn split_version(file: &str) -> (Option<u64>, String) {
     let Some(line) = file.lines().find(|l| l.starts_with(VERSION_PREFIX)) else {
         return (None, file.to_owned());
@@ -76,12 +77,12 @@
 
 fn report_conflict(service: &str, over: u64, row: Option<&Row>, text: &str) -> Exit {
     let Some(row) = row else {
-        eprintln!("{service}: there is no document, so it can't be over version {over}; use 0");
+        eprintln!("{service}: there is no document, so it can't replace version {over}; use 0");
         return Exit::Refused;
     };
     eprintln!(
-        "{service}: version {} is there now, and this document was made over {over}; nothing \
-         was changed. The difference:",
+        "{service}: the current version is {}, but this document is based on version {over}; \
+         nothing was changed. The difference:",
         row.version
     );
     let diff = TextDiff::from_lines(row.value.as_str(), text);
@@ -90,7 +91,7 @@
     Exit::Refused
 }
 
-/// Settles a write whose outcome is unknown by reading the row back.
+/// Reads the row back to find out whether a write with an unknown outcome took effect.
 async fn resolve_unknown(
     table: &HttpPlatform,
     service: &str,
@@ -105,7 +106,7 @@
         };
         match rows.first() {
             Some(row) if row.token == txn.token => return report_committed(service, row.version),
-            // Another version over the same one: ours can never come now.
+            // Another version replaced the same one, so this write can no longer take effect.
             Some(row) if row.version != over => {
                 let text = txn
                     .puts
@@ -118,8 +119,8 @@
         }
     }
     eprintln!(
-        "{service}: outcome unknown ({why}); the write may yet take effect. `show {service}` \
-         tells; applying the same file again is safe"
+        "{service}: outcome unknown ({why}); the write may still take effect. Run `show {service}` \
+         to check; applying the same file again is safe"
     );
     Exit::Unreachable
 }
--- a/crates/arbutusquay/src/commands/check.rs
+++ b/crates/arbutusquay/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: all faults of a document.
+//! `check`: prints all faults of a document.
 
 use super::{print_faults, read};
 use crate::exit::Exit;
--- a/crates/arbutusquay/src/commands/explain.rs
+++ b/crates/arbutusquay/src/commands/explain.rs
@@ -1,7 +1,7 @@
-//! `explain`: a request's way through the logs of several processes.
+//! `explain`: prints the log lines of several processes about a request or a usage window.
 //!
-//! Prints, in order of time, each line about the request, and what the processes
-//! that handled it learned meanwhile of its upstreams and of their dependencies.
+//! The lines are in order of time. For a request, they include what the processes that handled it
+//! logged meanwhile about its upstreams and their dependencies.
 
 use crate::args::ExplainArgs;
 use crate::exit::Exit;
@@ -10,21 +10,21 @@
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 
-/// How long before a request's first line other lines may explain it, in
-/// milliseconds: a lost dependency is told of within a second, and bounds on what
-/// a process believes are a few seconds.
+/// How long before a request's first line other lines are included, in milliseconds. A lost
+/// dependency is logged within a second, and processes act on state that is up to a few seconds
+/// old.
 const CONTEXT_BEFORE_MS: u64 = 5000;
-/// How long after its last line the line may stand that its upstream has started again,
-/// in milliseconds: the upstream's connections end first, then it starts, writes its row,
-/// and that is read.
+/// How long after a request's last line a restart of its upstream is included, in milliseconds.
+/// The upstream's connections break first. Then it starts and writes its row, and the row is
+/// read.
 const RESTART_AFTER_MS: u64 = 5000;
-/// How long before a request's first line lines about the same work may stand, in
-/// milliseconds: as long as hosts remember what ends upstreams.
+/// How long before a request's last line other lines about the same work are included, in
+/// milliseconds: as long as hosts remember crashes of upstreams.
 const WORK_HISTORY_MS: u64 = 3_600_000;
-/// Fields that stand at the beginning of a line or are the same on all.
+/// Fields that are printed at the start of a line or are the same in all lines.
 const LEADING: [&str; 5] = ["ts_ms", "level", "process", "event", "request"];
 
-/// A line of a log.
+/// A parsed log line.
 #[derive(Debug)]
 struct Line {
     at_ms: u64,
@@ -33,10 +33,10 @@
     fields: Map<String, Value>,
 }
 
-/// How long after its last line a configuration may come into force that explains it, in
-/// milliseconds: a key that was taken away is refused from then on.
+/// How long after a request's last line a change of the configuration is included, in
+/// milliseconds. A removed key is refused from that change on.
 const CONFIG_AFTER_MS: u64 = 10_000;
-/// Begins an id that is the number of a window of usage.
+/// Prefix of an id that is the number of a usage window.
 const WINDOW_PREFIX: &str = "window:";
 
 /// Runs the command.
@@ -76,11 +76,12 @@
     Exit::Done
 }
 
-/// Prints what became of a window of usage: its lines and, meanwhile, who held the duty and
-/// what that depends on. One that has no line lies between those before and after it.
+/// Prints the lines about a usage window, with the lines about the reporting duty and its
+/// dependencies during that time. For a window without lines, that is the time between the lines
+/// about earlier and later windows.
 fn run_window(text: &str, lines: &[Line]) -> Exit {
     let Ok(window) = text.parse::<u64>() else {
-        eprintln!("{text}: not the number of a window");
+        eprintln!("{text}: not a window number");
         return Exit::Usage;
     };
     let window_lines: Vec<(u64, u64)> = lines
@@ -113,7 +114,7 @@
     Exit::Done
 }
 
-/// Whether a line tells who held the duty to report usage, or what that depends on.
+/// Returns whether a line is about the duty to report usage or about its dependencies.
 fn is_about_usage(line: &Line) -> bool {
     match line.event.as_str() {
         "lease_taken" => line.field("service") == Some("usage"),
@@ -126,8 +127,7 @@
 
 fn read(path: &Path, out: &mut Vec<Line>) -> std::io::Result<()> {
     for text in BufReader::new(File::open(path)?).lines() {
-        // What isn't one of our lines, such as a note of the supervisor's, is
-        // passed over.
+        // Lines of other programs, such as the supervisor, are skipped.
         if let Some(line) = Line::parse(&text?) {
             out.push(line);
         }
@@ -135,8 +135,8 @@
     Ok(())
 }
 
-/// Whether a line that isn't about the request tells what its process believed of
-/// an upstream that the request met, or of a dependency.
+/// Returns whether a line of one of the request's processes is about an upstream of the request or
+/// about a dependency of the process.
 fn is_context(line: &Line, own_lines: &[&Line]) -> bool {
     let is_process = own_lines.iter().any(|o| o.process == line.process);
     let upstream = line.field("upstream");
@@ -152,7 +152,8 @@
     }
 }
 
-/// Whether a line tells of the same work that upstreams ended under it, or what was decided.
+/// Returns whether a line is about crashes of upstreams under the same work, or about the decision
+/// to block or release that work.
 fn is_about_same_work(line: &Line, own_lines: &[&Line]) -> bool {
     let is_work_event = matches!(
         line.event.as_str(),
@@ -194,7 +195,7 @@
         self.fields.get("window").and_then(Value::as_u64) == Some(window)
     }
 
-    /// The line as it is printed, with the time since the request's first line.
+    /// Returns the line as it is printed, with the time since `first_ms`.
     fn text(&self, first_ms: u64) -> String {
         let offset = self.at_ms as f64 - first_ms as f64;
         let mut out = format!("{offset:+8.0} ms  {}  {}", self.process, self.event);
--- a/crates/arbutusquay/src/commands/process.rs
+++ b/crates/arbutusquay/src/commands/process.rs
@@ -1,4 +1,4 @@
-//! The processes `entry`, `agent` and `gateway`.
+//! The commands that run the processes `entry`, `agent` and `gateway`.
 
 use super::settings;
 use crate::exit::Exit;
@@ -9,10 +9,10 @@
 use std::path::Path;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Signals that stop a process gracefully.
+/// Signals that stop a gateway gracefully. SIGHUP makes it reload its settings.
 const GATEWAY_STOP_SIGNALS: [SignalKind; 2] = [SignalKind::terminate(), SignalKind::interrupt()];
-/// The same for entry and agent, which read their settings once: as SIGHUP isn't a
-/// reload to them, it would end them at once and cut off what they run.
+/// Signals that stop an entry or an agent gracefully. They don't reload settings, and without a
+/// handler SIGHUP would kill them and abort their requests.
 const STOP_SIGNALS: [SignalKind; 3] = [
     SignalKind::terminate(),
     SignalKind::interrupt(),
@@ -80,11 +80,11 @@
     }
 }
 
-/// A stop that signals give. Later ones change nothing.
+/// Returns a stop that the first of these signals triggers. Later signals have no effect.
 fn stop_on_signals(kinds: &[SignalKind]) -> Stop {
     let stop = Stop::default();
     for kind in kinds.iter().copied() {
-        let mut signal = signal(kind).expect("a handler for a plain signal can be set");
+        let mut signal = signal(kind).expect("handlers for these signals can be installed");
         let stop = stop.clone();
         tokio::spawn(async move {
             signal.recv().await;
--- a/crates/arbutusquay/src/commands/report.rs
+++ b/crates/arbutusquay/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `report`: who got what, and why not.
+//! `report`: prints the outcomes of a service's requests.
 
 use super::{platform, report_unreachable};
 use crate::args::ReportArgs;
--- a/crates/arbutusquay/src/commands/show.rs
+++ b/crates/arbutusquay/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `show`: the document of a service.
+//! `show`: prints the document of a service.
 
 use super::apply::VERSION_PREFIX;
 use super::{platform, report_unreachable};
--- a/crates/arbutusquay/src/commands/status.rs
+++ b/crates/arbutusquay/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: documents in force, upstreams, roles, leaving hosts, who plans.
+//! `status`: prints documents in force, upstreams and their roles, leaving hosts and planners.
 
 use super::{report_unreachable, settings};
 use crate::args::StatusArgs;
@@ -14,12 +14,12 @@
 use store::{Error, HostState, Hosts, HttpPlatform, Row, Table};
 use wire::{AgentState, AgentStatus, PATH_STATUS};
 
-/// Longest wait for one agent.
+/// Longest wait for an agent's status.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest status of an agent.
+/// Largest status of an agent, in bytes.
 const MAX_STATUS: usize = 64 << 10;
 
-/// The whole status.
+/// Status of the system.
 #[derive(Debug, Serialize)]
 struct Status {
     services: Vec<ServiceStatus>,
@@ -71,7 +71,7 @@
     for service in &settings.services {
         services.push(service_status(&platform, service).await?);
     }
-    // The list is another service of the platform; without it the rest stands.
+    // The host list is a separate service. If it fails, the rest of the status is still printed.
     let hosts = platform
         .hosts(0)
         .await
--- a/crates/arbutusquay/src/exit.rs
+++ b/crates/arbutusquay/src/exit.rs
@@ -1,8 +1,8 @@
-//! Exit codes, the same for all commands.
+//! Exit codes, which all commands share.
 
 use std::process::ExitCode;
 
-/// How a command ended.
+/// Result of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
     /// Done.
--- a/crates/arbutusquay/src/main.rs
+++ b/crates/arbutusquay/src/main.rs
@@ -1,6 +1,6 @@
 //! arbutusquay: serves language-model services on a fixed fleet of engines.
 //!
-//! One binary: the processes `entry` and `agent`, and the operators' commands.
+//! One binary runs the processes `entry`, `agent` and `gateway`, and the operator commands.
 
 mod args;
 mod commands;
@@ -19,15 +19,15 @@
     let runtime = match runtime(&args.command).enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("can't start: {e}");
+            eprintln!("can't start the runtime: {e}");
             return Exit::Unreachable.into();
         }
     };
     runtime.block_on(run(args.command)).into()
 }
 
-/// The runtime of a command. A gateway has a part of one core, where threads only
-/// take turns and wake each other up.
+/// Chooses the runtime of a command. A gateway gets a fraction of one core, on which several
+/// threads would only alternate and wake each other.
 fn runtime(command: &Command) -> Builder {
     match command {
         Command::Gateway(_) => Builder::new_current_thread(),
--- a/crates/arbutusquay/tests/crashing.rs
+++ b/crates/arbutusquay/tests/crashing.rs
@@ -1,7 +1,8 @@
-//! Requests that crash each upstream that runs them, at entries and agents.
+//! Requests that crash each upstream that runs them, with entries and agents.
 //!
-//! The same cause as with gateways: an entry counted tries of one request, and a caller that
-//! came again, to whichever entry, began at nothing.
+//! Guards against counting attempts per request only: a caller that repeated its request at any
+//! entry started a new count, so it could crash upstream after upstream. Gateways had the same
+//! fault.
 
 use bench::bed::{Bed, bed, is_whole, lookup, reply, until};
 use bench::caller::{Got, Sent};
@@ -9,13 +10,13 @@
 use fakes::Faults;
 use std::time::Duration;
 
-/// The shipped binary.
+/// Path of the binary under test.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
-/// Text in the requests that crash upstreams.
+/// Text in requests that crash upstreams.
 const CRASHING_TEXT: &str = "deadly";
-/// Time after the third end from which on few more sends are allowed, and a bit more.
+/// Time after the third crash from which on only [`MAX_LATER_CRASHES`] are allowed, with a margin.
 const SETTLE_TIME: Duration = Duration::from_millis(3200);
-/// Sends that are allowed from then on, by all entries together.
+/// Number of crashes that all entries together may still cause after that.
 const MAX_LATER_CRASHES: u32 = 3;
 
 async fn crashing_bed() -> Bed {
@@ -45,7 +46,7 @@
     of_engines.chain(of_plains).sum()
 }
 
-/// A call that may run once, without a key of its own.
+/// A call that may run at most once, without an idempotency key.
 fn post() -> Ask {
     Ask {
         class: "notice",
@@ -66,7 +67,7 @@
     }
 }
 
-/// Sends it by turns to both entries until three upstreams have ended.
+/// Sends a request to both entries in turn until three upstreams have crashed.
 async fn crash_three_upstreams(bed: &Bed, ask: &Ask) {
     let mut turn = 0;
     while crashes(bed) < 3 {
@@ -84,9 +85,9 @@
     for turn in 0..16 {
         bed.caller(turn % 2).send(ask.clone()).await;
         let more = crashes(&bed) - before;
-        assert!(more <= MAX_LATER_CRASHES, "{more} more upstreams ended");
+        assert!(more <= MAX_LATER_CRASHES, "{more} more upstreams crashed");
     }
-    // It is tried once more; once all know what came of that it is for good.
+    // One trial still runs. Once all entries know its result, the request stays blocked.
     for turn in 0..4 {
         tokio::time::sleep(SETTLE_TIME / 2).await;
         bed.caller(turn % 2).send(ask.clone()).await;
@@ -94,7 +95,7 @@
     let sent = bed.caller(0).send(ask.clone()).await;
     assert_eq!(reason(&sent), "crashes-upstreams", "{:?}", sent.got);
     assert!(is_whole(&bed.caller(0).send(other).await));
-    // An entry that starts later knows it too.
+    // An entry that starts later also blocks it.
     bed.site.entries[0].process.kill().await.unwrap();
     bed.site.restart_entry(0).unwrap();
     bed.site.ready().await.unwrap();
@@ -103,7 +104,7 @@
     let more = crashes(&bed) - before;
     assert!(
         more <= MAX_LATER_CRASHES,
-        "{more} more upstreams ended after a restart"
+        "{more} more upstreams crashed after a restart"
     );
 }
 
@@ -117,7 +118,7 @@
     assert_stopped(post(), lookup("/other")).await;
 }
 
-/// Broken streams of engines that go on are no crash.
+/// Streams that break while their engine keeps running are not crashes.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_broken_by_running_engines_do_not_count_as_crashes() {
     let bed = bed(BINARY, 3).await;
--- a/crates/arbutusquay/tests/explain.rs
+++ b/crates/arbutusquay/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a failed request's id to its cause, by the logs of a real process.
+//! `explain` shows the cause of a failed request from the logs of a real process.
 
 use bench::procs::{Proc, command};
 use standin::fixture::{
@@ -59,8 +59,8 @@
         started
     }
 
-    /// Sends a request until the gateway knows its worker; gives the first answer
-    /// that isn't "no upstream", with the id that it was for.
+    /// Repeats a request until the gateway knows its worker. Returns the id and the answer of the
+    /// first request that isn't refused for lack of an upstream or a configuration.
     async fn request_until_routed(
         &self,
         method: &str,
@@ -88,7 +88,8 @@
         };
         tcp.write_all(text.as_bytes()).await.unwrap();
         let mut buf = Vec::new();
-        // A plain answer leaves the connection open: it is over once nothing comes.
+        // A plain answer leaves the connection open, so it counts as complete once no more bytes
+        // arrive.
         let quiet = Duration::from_millis(300);
         while tokio::time::timeout(quiet, tcp.read_buf(&mut buf))
             .await
@@ -97,8 +98,8 @@
         String::from_utf8_lossy(&buf).into_owned()
     }
 
-    /// Sends a request and waits for the first bytes of its answer, however late; none if
-    /// nobody takes connections yet.
+    /// Sends a request and waits up to [`TIMEOUT`] for the first bytes of its answer. Returns an
+    /// empty string if the gateway doesn't accept connections yet.
     async fn send_and_wait(&self, text: &str) -> String {
         let Ok(mut tcp) = TcpStream::connect(self.callers).await else {
             return String::new();
@@ -110,7 +111,7 @@
         String::from_utf8_lossy(&buf).into_owned()
     }
 
-    /// What `explain` prints once the request's last line is written.
+    /// Returns what `explain` prints once the request's last line is written.
     async fn explain(&self, id: &str) -> String {
         let until = Instant::now() + TIMEOUT;
         loop {
@@ -125,7 +126,8 @@
 }
 
 impl Fixture {
-    /// What `explain` prints once a word is in it, or after some time without.
+    /// Returns what `explain` prints once it contains a word, or without it after a quarter of
+    /// [`TIMEOUT`].
     async fn explain_until(&self, id: &str, word: &str) -> String {
         let until = Instant::now() + TIMEOUT / 4;
         loop {
@@ -174,7 +176,7 @@
     assert!(why.contains("why=") && why.contains("attempt=1"), "{why}");
 }
 
-/// The log tells of each end under the same work, though each had another id.
+/// The log shows each crash under the same work, though each request had another id.
 #[tokio::test]
 async fn a_request_that_is_held_back_is_explained() {
     let fixture = start(7).await;
@@ -197,7 +199,7 @@
     }
     let until = Instant::now() + TIMEOUT;
     for n in 0.. {
-        // Ids are made of the path, so the path says which is which and the body is the same.
+        // Only the id changes. Path and body stay the same, so all requests count as the same work.
         let id = format!("again-{n}");
         let text = fixture
             .send(&request("POST", "/unsafe/", &id, "", "x"))
@@ -231,11 +233,11 @@
     };
     register(1000);
     let until = Instant::now() + TIMEOUT;
-    // On a busy machine the new row may be read too late to explain the failure; then
-    // the upstream fails and starts again once more.
+    // On a busy machine the new row may be read too late to explain the failure. Then the
+    // upstream fails and restarts again.
     for born in (2000..).step_by(1000) {
         worker.usually(Act::Close);
-        // Ids are made of paths.
+        // The id is derived from the path.
         let path = format!("/unsafe/{born}");
         let (id, text) = fixture.request_until_routed("POST", &path, "").await;
         assert!(text.starts_with("HTTP/1.1 502"), "{text}");
@@ -253,7 +255,7 @@
     }
 }
 
-/// No connection closed; the registry tells that the upstream has started again.
+/// No connection closes. Only the registry shows that the upstream has restarted.
 #[tokio::test]
 async fn an_unresponsive_upstream_is_explained() {
     let fixture = start(8).await;
@@ -269,7 +271,8 @@
     };
     register(1000);
     let until = Instant::now() + TIMEOUT;
-    // Refused until the row is read; the first that is passed on waits for the route's timeout.
+    // Requests are refused until the row is read. The first that is passed on waits for the route's
+    // timeout.
     let mut count = 0;
     let id = loop {
         count += 1;
@@ -314,7 +317,7 @@
     worker.usually(Act::Hang);
     let tokens = "token-counts: 9000,5\r\nprompt-prefix: a:10,b:10,c:8980\r\n";
     let ids: Vec<String> = (0..200).map(|n| format!("id-{n}")).collect();
-    // Each of these hangs, so the estimate grows until one is refused.
+    // Each of these requests hangs, so the estimate grows until one is refused.
     let mut held = Vec::new();
     let until = Instant::now() + TIMEOUT;
     for id in ids.iter().cycle() {
@@ -379,14 +382,14 @@
         .kill_on_drop(true)
         .spawn()
         .unwrap();
-    // Until it is ready it refuses requests and closes their connection.
+    // Until it is ready, it refuses requests and closes their connections.
     let until = Instant::now() + TIMEOUT;
     while !is_ready(at(7001)).await {
         assert!(Instant::now() < until);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let mut tcp = TcpStream::connect(at(7000)).await.unwrap();
-    // Some 400 bytes a line: far more than a pipe's 64 KiB.
+    // At about 400 bytes a line, this is far more than a pipe's 64 KiB.
     let mut served = 0;
     for n in 0..4000 {
         let text = request("GET", "/safe/", &format!("unread-{n:05}"), "", "");
@@ -407,9 +410,9 @@
     child.kill().await.unwrap();
 }
 
-/// Whether a gateway says that it takes requests.
+/// Returns whether a gateway reports that it is ready.
 async fn is_ready(at: SocketAddr) -> bool {
-    let asked = async {
+    let probe = async {
         let mut tcp = TcpStream::connect(at).await?;
         tcp.write_all(b"GET /readyz HTTP/1.1\r\nhost: x\r\n\r\n")
             .await?;
@@ -417,7 +420,7 @@
         tcp.read_exact(&mut buf).await?;
         std::io::Result::Ok(buf)
     };
-    asked.await.is_ok_and(|buf| buf.ends_with(b"200"))
+    probe.await.is_ok_and(|buf| buf.ends_with(b"200"))
 }
 
 const SECRET: &str = "k-secret-and-long";
@@ -456,7 +459,7 @@
     let explained = fixture.explain_until(&id, "removed_key").await;
     let words = ["status=401", "tenant=one", "key_removed_by=3", "config_ms="];
     assert_contains(&explained, &words);
-    // One that ran with it shows since when the version was in force that allowed it.
+    // The request that ran with the key shows which configuration allowed it and since when.
     let explained = fixture.explain(&served).await;
     assert_contains(&explained, &["config=2", "config_ms=", "tenant=one"]);
     let log = std::fs::read_to_string(&fixture.log).unwrap();
--- a/crates/arbutusquay/tests/lifecycle.rs
+++ b/crates/arbutusquay/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starting, stopping and failing: drains cut nothing off, kills are survived.
+//! Starts, stops and failures of processes: draining aborts no stream, and streams survive kills.
 
 use bench::bed::{BOUND, Bed, LOOK, bed, bed_with, is_whole, lookup, notice, reply, until};
 use bench::caller::Got;
@@ -13,13 +13,13 @@
 use store::HostState;
 use wire::Outcome;
 
-/// The shipped binary.
+/// Path of the binary under test.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 
-/// Tokens of a stream that is still running when something happens to it.
+/// Tokens of a stream that is still running when its process is stopped or killed.
 const LONG_STREAM_TOKENS: u32 = 600;
 
-/// Starts long streams through an entry and waits until all run.
+/// Starts long streams through an entry and waits until all of them run.
 async fn start_streams(
     bed: &Bed,
     entry: usize,
@@ -28,7 +28,7 @@
     let tasks: Vec<_> = (0..count)
         .map(|n| {
             let caller = bed.caller(entry);
-            // Each of another tenant, so that no tenant's limit holds one back.
+            // Each has its own tenant, so that no tenant limit delays it.
             let ask = Ask {
                 tenant: format!("t{n}"),
                 ..reply(&format!("long {n}"), LONG_STREAM_TOKENS)
@@ -49,7 +49,7 @@
 
 async fn assert_all_whole(tasks: Vec<tokio::task::JoinHandle<bool>>) {
     for t in tasks {
-        assert!(t.await.unwrap(), "a stream was cut off");
+        assert!(t.await.unwrap(), "a stream was aborted");
     }
 }
 
@@ -70,7 +70,7 @@
     assert_eq!(
         bed.engine(0).history().runs.len(),
         late,
-        "new work after it left"
+        "new requests after it left"
     );
     assert!(late >= before);
     assert_all_whole(running).await;
@@ -91,7 +91,7 @@
     };
     tokio::time::timeout(BOUND, wait)
         .await
-        .expect("health says no");
+        .expect("the health check fails");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -153,7 +153,7 @@
     let bed = bed(BINARY, 1).await;
     let settings = bed.site.dir().join("agent-dossier-1.yaml");
     let binary = PathBuf::from(BINARY);
-    // Also while the first is paused: the kernel holds its address.
+    // This holds even while the first is paused, as the kernel keeps its address bound.
     bed.site.workers[0].agent.signal(Signal::Pause);
     let mut second = Proc::start(&binary, "agent", "second", &settings).unwrap();
     assert_eq!(second.ended().await.unwrap().code(), Some(1));
@@ -176,7 +176,7 @@
     bed.site.restart_entry(0).unwrap();
     assert!(
         is_whole(&bed.caller(1).send(lookup("/status/1")).await),
-        "the other goes on"
+        "the other entry keeps serving"
     );
     bed.site.table.injector().set(Faults::default());
     bed.site.ready().await.unwrap();
@@ -184,7 +184,7 @@
     assert!(is_whole(&bed.caller(0).send(notice("n", "x")).await));
 }
 
-/// Found by `bench faults`: the agent waited for ever for a peer that was paused.
+/// Guards against an agent that waits forever for a paused peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_agent_exits_while_a_peer_is_paused() {
     let mut bed = bed_with(BINARY, 2, |o| {
@@ -208,9 +208,9 @@
     bed.site.entries[1].process.signal(Signal::Resume);
 }
 
-/// Found by `bench faults`: a call that waited for its claim began seconds after
-/// its upstream had begun to leave. Here the claim's answer is lost, and the row
-/// can only be read back when the agent has long been told to stop.
+/// Guards against a call that waits for its claim and starts seconds after its upstream has begun
+/// to leave. Here the claim's answer is lost, and the row can only be read back long after the
+/// agent was told to stop.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_claim_starts_no_call_on_a_leaving_upstream() {
     let mut bed = bed(BINARY, 1).await;
@@ -241,8 +241,8 @@
     };
     bed.site.table.injector().set(cut);
     bed.site.workers[plain].agent.signal(Signal::Term);
-    let told = now_ms();
-    until("the bound", || now_ms() > told + LEAVING_BOUND_MS).await;
+    let signalled_ms = now_ms();
+    until("the bound", || now_ms() > signalled_ms + LEAVING_BOUND_MS).await;
     bed.site.table.injector().set(Faults::default());
     let sent = late.await.unwrap();
     let not_run = matches!(
--- a/crates/arbutusquay/tests/operators.rs
+++ b/crates/arbutusquay/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' commands and documents in force.
+//! The operator commands, and how documents come into force.
 
 use bench::bed::{BOUND, LOOK, MODEL, PLAIN, bed, is_whole, lookup, reply};
 use bench::deploy::admin_of;
@@ -7,7 +7,7 @@
 use fakes::serve::FakeServer;
 use std::path::Path;
 
-/// The shipped binary.
+/// Path of the binary under test.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 
 fn write(dir: &Path, name: &str, text: &str) -> String {
@@ -175,7 +175,7 @@
     }
 }
 
-/// Whether all entries, and all agents of the plain service, go by a version.
+/// Returns whether all entries, and all agents of the plain service, use a document version.
 async fn in_force(site: &bench::site::Site, version: u64) -> bool {
     let agents = site.workers.iter().filter(|w| w.service == PLAIN);
     let addrs = site
--- a/crates/arbutusquay/tests/path.rs
+++ b/crates/arbutusquay/tests/path.rs
@@ -1,5 +1,5 @@
-//! The whole path, with real processes: answers, refusals, bad input, faults of
-//! upstreams and of the table service.
+//! Requests through entries and agents as real processes: answers, refusals, invalid input, and
+//! faults of upstreams and of the table service.
 
 use bench::bed::{Bed, bed, is_whole, lookup, notice, reply, until};
 use bench::caller::{Got, Sent, request};
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use wire::Outcome;
 
-/// The shipped binary.
+/// Path of the binary under test.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 
 fn refused(sent: &Sent) -> (Outcome, &str) {
@@ -53,7 +53,7 @@
     let bed = bed(BINARY, 2).await;
     let first = bed.caller(0).send(notice("k1", "you are third")).await;
     assert_eq!(first.got, Got::Whole { kept: false });
-    // The answer is kept a moment after it was given.
+    // The answer is stored shortly after it was sent.
     let mut repeat = bed.caller(1).send(notice("k1", "you are third")).await;
     while matches!(
         &repeat.got,
@@ -83,7 +83,7 @@
     assert_eq!(bed.runs_of("k2"), 1);
 }
 
-/// Method, path, body, a header, and the status and reason that must come.
+/// Method, path, body, a header, and the expected status and reason.
 type InvalidRequest = (
     &'static str,
     &'static str,
@@ -191,13 +191,13 @@
     }
     assert!(
         bed.plains().iter().all(|p| p.history().is_empty()),
-        "nothing of it ran"
+        "no invalid request ran"
     );
 }
 
 async fn send_raw(bed: &Bed, bytes: &[u8]) -> String {
     let mut tcp = TcpStream::connect(bed.site.entries[0].addr).await.unwrap();
-    // The other side may answer and close before all is sent.
+    // The server may answer and close before all is sent.
     let _ = tcp.write_all(bytes).await;
     let mut got = Vec::new();
     let _ = tokio::time::timeout(bench::bed::BOUND, tcp.read_to_end(&mut got)).await;
@@ -224,7 +224,7 @@
         "x".repeat(9_000_000)
     );
     let got = send_raw(&bed, long.as_bytes()).await;
-    // The refusal may be lost when the rest of the body meets a closed socket.
+    // The refusal may be lost if the rest of the body is sent to a closed socket.
     assert!(got.is_empty() || got.contains("too-large"), "{got}");
     assert!(is_whole(
         &bed.caller(0).send(reply("still there?", 5)).await
@@ -272,14 +272,14 @@
     assert_eq!(refused(&sent).0, Outcome::Unknown);
 }
 
-/// Found by `bench faults`: a stream that broke after its last token, but before
-/// its end, was resumed past its length and got a token too many.
+/// Guards against an extra token: a stream that broke after its last token but before its end was
+/// resumed past its length.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_breaks_after_its_last_token_is_not_resumed() {
     let bed = bed(BINARY, 2).await;
     for tokens in [1, 7] {
         for e in bed.engines() {
-            // The last chunk comes twice, which breaks the try after it.
+            // The duplicate of the last chunk makes the attempt fail after it.
             e.injector().set(Faults {
                 double_last: 1,
                 ..Faults::default()
--- a/crates/arbutusquay/tests/stopping.rs
+++ b/crates/arbutusquay/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! What a stopping process takes on, and what becomes of what it can't end.
+//! Which requests a stopping process accepts, and how those end that it can't finish.
 
 use bench::bed::{Bed, LOOK, MODEL, bed_with, is_whole, notice, reply, until};
 use bench::caller::{Got, Sent};
@@ -10,18 +10,18 @@
 use tokio::net::TcpStream;
 use wire::Outcome;
 
-/// The shipped binary.
+/// Path of the binary under test.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
-/// Time of one token.
+/// Time that an engine takes per token.
 const STEP_TIME: Duration = Duration::from_millis(20);
-/// Tokens of a stream that lasts longer than any stop here.
+/// Tokens of a stream that lasts longer than any stop in these tests.
 const LONG_STREAM_TOKENS: u32 = 1200;
-/// Time of a plain call that lasts longer than any stop here.
+/// Duration of a plain call that lasts longer than any stop in these tests.
 const LONG_CALL_TIME: Duration = Duration::from_secs(12);
-/// Tokens from which an agent learns how long one takes.
+/// Tokens of a stream from which an agent measures the time per token.
 const WARM_UP_TOKENS: u32 = 20;
 
-/// A site whose processes stop within `linger` and a drain bound of 2 s.
+/// Starts a site whose processes stop within `linger` and a drain bound of 2 s.
 async fn slow_bed(workers: usize, linger: &str) -> Bed {
     bed_with(BINARY, workers, |o| {
         o.rates.step_time = STEP_TIME;
@@ -51,7 +51,7 @@
     }
 }
 
-/// The log lines of a process about one event.
+/// Returns the log lines of a process about one event.
 fn log_lines(bed: &Bed, process: &str, event: &str) -> Vec<serde_json::Value> {
     let log = bed.site.dir().join(format!("{process}.log"));
     let text = std::fs::read_to_string(log).unwrap();
@@ -128,7 +128,8 @@
     assert!(is_whole(&sent), "{:?}", sent.got);
 }
 
-/// As all agents are restarted one after the other, on a small fleet back to the first.
+/// Covers a rolling restart of all agents, during which a stream on a small fleet returns to the
+/// first one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_outlasts_each_agent_in_turn_returns_to_a_restarted_one() {
     let mut bed = slow_bed(2, "linger: 100ms").await;
@@ -162,7 +163,7 @@
     assert!(entry.ended().await.unwrap().success());
 }
 
-/// A request that is sent on a kept connection just as the server ends gets no answer.
+/// A request that is sent on a kept-alive connection just as the server exits would get no answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_entry_asks_callers_to_close_their_connections() {
     let bed = slow_bed(1, "linger: 5s").await;
@@ -193,13 +194,13 @@
         .write_all(b"expect: 100-continue\r\n\r\n")
         .await
         .unwrap();
-    // The server asks for the body as it begins to read it.
+    // The server sends 100 Continue when it starts to read the body.
     let mut begun = [0; 12];
     caller.read_exact(&mut begun).await.unwrap();
     assert_eq!(&begun, b"HTTP/1.1 100");
     bed.site.entries[0].process.signal(Signal::Term);
     let mut answer = String::new();
-    // How the connection ends after the answer is of no matter here.
+    // It doesn't matter how the connection ends after the answer.
     let _ = caller.read_to_string(&mut answer).await;
     assert!(answer.contains("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("process-ends"), "{answer}");
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,10 +1,9 @@
-//! A model engine.
+//! A fake model engine.
 //!
-//! It batches continuously, reads prompts in pieces between decode steps,
-//! caches prompt prefixes in limited memory, honours priorities, resumes and
-//! cancels streams, exports and imports KV cache, publishes cache events late
-//! and with gaps, reports its load with a lag, and takes orders with or without
-//! looking at their fencing numbers. All rates are assumed.
+//! It supports continuous batching, chunked prefill between decode steps, a prefix cache of
+//! limited size, priorities, resuming and cancelling streams, and export and import of KV
+//! cache. Its load reports lag, its cache events are late and have gaps, and it can be told to
+//! ignore the fencing numbers of orders. All rates are assumptions.
 
 mod batch;
 mod cache;
@@ -25,22 +24,22 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Rates and sizes of the stand-in, all assumed.
+/// Rates and sizes of the engine, all of them assumptions.
 #[derive(Debug, Clone)]
 pub struct Rates {
-    /// Time of one decode step.
+    /// Duration of one decode step.
     pub step_time: Duration,
-    /// Prompt tokens read in one step, over all requests.
+    /// Prompt tokens processed in one step, over all requests.
     pub prefill_per_step: u32,
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub max_running: usize,
-    /// Prefixes that the cache holds.
+    /// Prefixes that fit in the cache.
     pub cache_capacity: usize,
-    /// Time that a change of role or model takes.
+    /// Duration of a change of role or model.
     pub change_time: Duration,
-    /// Lag of load reports and cache events.
+    /// Delay of load reports and cache events.
     pub report_lag: Duration,
-    /// Whether old fencing numbers are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub fencing: bool,
 }
 
@@ -58,10 +57,10 @@
     }
 }
 
-/// Bytes of a prompt that make up one token, assumed.
+/// Prompt bytes per token. This is an assumption.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// The stand-in.
+/// A fake engine that serves completions and carries out orders.
 #[derive(Debug)]
 pub struct FakeEngine {
     injector: FaultInjector,
@@ -78,7 +77,7 @@
 }
 
 impl FakeEngine {
-    /// An engine with nothing loaded. Its steps run until it is dropped.
+    /// Creates an engine without a model. Its steps run until it is dropped.
     pub fn new(rates: Rates) -> Arc<Self> {
         let inner = Inner {
             batch: Batch::new(rates.max_running, rates.report_lag),
@@ -95,12 +94,12 @@
         this
     }
 
-    /// What the engine saw.
+    /// Returns the orders and completions that the engine received.
     pub fn history(&self) -> EngineHistory {
         self.lock().orders.history()
     }
 
-    /// Requests that wait or run now.
+    /// Returns the number of waiting and running requests.
     pub fn open_requests(&self) -> usize {
         self.lock().batch.open_requests()
     }
@@ -120,7 +119,7 @@
             let Some(engine) = this.upgrade() else { return };
             engine.step();
             if engine.lock().batch.is_idle() {
-                // A bounded wait, so that a dropped engine's task ends.
+                // The wait is bounded so that the task ends after the engine is dropped.
                 let _ = tokio::time::timeout(IDLE_WAIT, engine.work_arrived.notified()).await;
             }
         }
@@ -168,7 +167,7 @@
     }
 }
 
-/// Longest that an idle engine sleeps.
+/// Longest sleep of an idle engine.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
 
 impl FakeServer for FakeEngine {
--- a/crates/fakes/src/engine/batch.rs
+++ b/crates/fakes/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching in the engine stand-in.
+//! Continuous batching of the fake engine.
 
 use super::BYTES_PER_TOKEN;
 use super::cache::PrefixCache;
@@ -13,7 +13,7 @@
 use wire::prefix;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Chunks that a reader may be behind before its request waits.
+/// Chunks buffered for a slow reader before its request pauses.
 const CHUNK_BUFFER: usize = 256;
 
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     out: BodySender,
 }
 
-/// Requests of one engine.
+/// The waiting and running requests of one engine.
 #[derive(Debug)]
 pub struct Batch {
     capacity: usize,
@@ -40,7 +40,7 @@
 }
 
 impl Batch {
-    /// A batch with room for so many requests, whose load reports are `lag` old.
+    /// Creates a batch that runs up to `capacity` requests and whose load reports are `lag` old.
     pub fn new(capacity: usize, lag: Duration) -> Self {
         Self {
             capacity,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Whether there is nothing to do.
+    /// Returns whether no request waits or runs.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Requests whose reader is still there.
+    /// Returns the number of requests whose reader is still connected.
     pub fn open_requests(&self) -> usize {
         self.waiting
             .iter()
@@ -66,7 +66,7 @@
             .count()
     }
 
-    /// Takes a request in and gives its stream.
+    /// Queues a request and returns the answer that streams its tokens.
     pub fn add(&mut self, body: CompletionBody, cache: &PrefixCache) -> Response<Body> {
         let (out, answer) = stream(CHUNK_BUFFER);
         let prefixes = prefix::hashes(body.prompt.as_bytes());
@@ -86,13 +86,13 @@
         Response::new(answer)
     }
 
-    /// Stops a request.
+    /// Cancels a request.
     pub fn cancel(&mut self, id: &str) {
         self.waiting.retain(|s| s.id != id);
         self.running.retain(|s| s.id != id);
     }
 
-    /// Breaks off everything, as a change or crash does. Gives how many ran.
+    /// Aborts all requests, as a change or a crash does. Returns how many had a connected reader.
     pub fn abort(&mut self) -> u64 {
         let open = |seqs: &[Seq]| seqs.iter().filter(|s| !s.out.is_closed()).count() as u64;
         let aborted = open(&self.waiting) + open(&self.running);
@@ -102,8 +102,8 @@
         aborted
     }
 
-    /// One step: reads prompts within the budget, then a token for each request
-    /// whose prompt was read.
+    /// Runs one step: processes prompt tokens up to the budget `prefill`, then emits one token
+    /// for each request whose prompt is complete.
     pub fn step(&mut self, prefill: u32, cache: &mut PrefixCache, injector: &FaultInjector) {
         self.record_load();
         self.waiting.retain(|s| !s.out.is_closed());
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The load as it was some time ago.
+    /// Returns the load as it was `lag` ago.
     pub fn report(&self) -> Load {
         self.reports
             .front()
@@ -210,7 +210,7 @@
     }
     match seq.out.try_send(Bytes::from(text)) {
         Ok(true) => seq.next_index += 1,
-        // The reader is behind: the same token again in the next step.
+        // The reader's buffer is full: the next step emits the same token again.
         Ok(false) => return Emitted::More,
         Err(_) => return Emitted::Broken,
     }
--- a/crates/fakes/src/engine/cache.rs
+++ b/crates/fakes/src/engine/cache.rs
@@ -1,16 +1,16 @@
-//! The prefix cache of the engine stand-in.
+//! The prefix cache of the fake engine.
 
 use engine::dialect::{CacheEvent, CacheEvents, KvBlob};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 use wire::prefix;
 
-/// Events that are kept for readers.
+/// Number of events kept for readers.
 const MAX_EVENTS: usize = 4096;
-/// Each event whose number is a multiple of this is never published.
+/// Events whose number is a multiple of this are never published.
 const GAP_EVERY: u64 = 17;
 
-/// Prefixes by hash, least recently used first.
+/// An LRU cache of prefix hashes, least recently used first.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -21,7 +21,7 @@
 }
 
 impl PrefixCache {
-    /// A cache with room for so many prefixes, whose events come `lag` late.
+    /// Creates a cache of up to `capacity` prefixes whose events are published `lag` late.
     pub fn new(capacity: usize, lag: Duration) -> Self {
         Self {
             capacity,
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Bytes at the prompt's beginning that are cached.
+    /// Returns the length in bytes of the longest cached prefix.
     pub fn cached(&self, hashes: &[u64]) -> usize {
         let longest = hashes.iter().rposition(|h| self.prefixes.contains(h));
         longest.map_or(0, prefix::length_at)
     }
 
-    /// Takes a prompt's prefixes in.
+    /// Adds a prompt's prefixes.
     pub fn add(&mut self, hashes: &[u64]) {
         for &h in hashes {
             if let Some(at) = self.prefixes.iter().position(|x| *x == h) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Forgets everything.
+    /// Removes all prefixes.
     pub fn clear(&mut self) {
         for h in std::mem::take(&mut self.prefixes) {
             self.record(h, false);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Events after a number, as late and as incomplete as engines publish them.
+    /// Returns the published events after a number: they are late and have gaps, as with engines.
     pub fn events(&self, after: u64) -> CacheEvents {
         let due = |(at, e): &&(Instant, CacheEvent)| at.elapsed() >= self.lag && e.number > after;
         let due: Vec<CacheEvent> = self.events.iter().filter(due).map(|(_, e)| *e).collect();
@@ -87,7 +87,7 @@
         CacheEvents { last, events }
     }
 
-    /// KV cache of a prompt, as far as it is held.
+    /// Exports the cached part of a prompt's KV cache.
     pub fn export(&self, prompt: &[u8]) -> KvBlob {
         let hashes = prefix::hashes(prompt);
         KvBlob {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes KV cache in.
+    /// Imports KV cache.
     pub fn import(&mut self, blob: &KvBlob) {
         self.add(&blob.prefixes);
     }
--- a/crates/fakes/src/engine/orders.rs
+++ b/crates/fakes/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine stand-in, and the history by which they are judged.
+//! Orders to the fake engine, and the history that tests check.
 
 use super::batch::Batch;
 use super::cache::PrefixCache;
@@ -8,45 +8,45 @@
 use std::time::{Duration, Instant};
 use wire::Role;
 
-/// Most orders that the history keeps.
+/// Largest number of orders, and of completions, in the history.
 const MAX_HISTORY: usize = 100_000;
 
-/// An order as the engine saw it.
+/// An order that the engine received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderSeen {
     /// The order.
     pub order: Order,
-    /// What the engine said.
+    /// The engine's answer.
     pub answer: OrderAnswer,
-    /// A different change was under way.
+    /// Whether a different change was in progress.
     pub conflicting: bool,
-    /// The engine had taken a higher number before, and still did this one.
+    /// Whether the engine carried out the order though it had accepted a higher fencing number.
     pub stale_effective: bool,
-    /// Streams that the change broke off.
+    /// Number of streams that the change aborted.
     pub cut: u64,
-    /// When it came, by [`crate::clock::now_ms`].
+    /// Arrival time by [`crate::clock::now_ms`].
     pub at_ms: u64,
 }
 
-/// A completion as the engine saw it.
+/// A completion that the engine accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRun {
-    /// The request's id with the number of the try.
+    /// The request's id with the number of the attempt.
     pub id: String,
-    /// When it came, by [`crate::clock::now_ms`].
+    /// Arrival time by [`crate::clock::now_ms`].
     pub at_ms: u64,
 }
 
-/// What an engine saw.
+/// The orders and completions that an engine received.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineHistory {
     /// Orders, in order of arrival.
     pub orders: Vec<OrderSeen>,
-    /// Completions that it took.
+    /// Completions that it accepted, in order of arrival.
     pub runs: Vec<EngineRun>,
 }
 
-/// The engine's state as far as orders change it.
+/// The state that orders change.
 #[derive(Debug)]
 pub struct Orders {
     fencing: bool,
@@ -57,7 +57,7 @@
 }
 
 impl Orders {
-    /// An engine with nothing loaded.
+    /// Creates the state of an engine without a model.
     pub fn new(fencing: bool, change_time: Duration) -> Self {
         let state = EngineState {
             role: Role::Mixed,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The state, once a change whose time has come is done.
+    /// Returns the state, after completing a change that is due.
     pub fn state(&mut self) -> EngineState {
         if let Some((at, order)) = &self.pending
             && Instant::now() >= *at
@@ -88,18 +88,18 @@
         self.state.clone()
     }
 
-    /// Whether the engine serves a model now.
+    /// Returns whether the engine serves a model now.
     pub fn serves(&mut self, model: &str) -> bool {
         let state = self.state();
         !state.changing && state.model.is_some_and(|m| m.name == model)
     }
 
-    /// The history.
+    /// Returns the history.
     pub fn history(&self) -> EngineHistory {
         self.history.clone()
     }
 
-    /// Notes a completion that was taken.
+    /// Records an accepted completion.
     pub fn record_run(&mut self, id: &str) {
         if self.history.runs.len() < MAX_HISTORY {
             self.history.runs.push(EngineRun {
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Takes an order.
+    /// Starts the change that an order asks for, or refuses the order as stale. With `crash`, the
+    /// engine crashes during the change.
     pub fn apply(
         &mut self,
         order: &Order,
@@ -143,7 +144,7 @@
         OrderAnswer::Taken
     }
 
-    /// The engine starts anew with nothing loaded; its orders' history stays.
+    /// Restarts the engine without a model. The history of orders stays.
     fn crash(&mut self, cache: &mut PrefixCache) {
         cache.clear();
         self.pending = None;
--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in can be told to show.
+//! Faults that can be injected into a fake server.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
@@ -6,42 +6,42 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Faults in force. A count is used up, one for each call.
+/// Faults to inject. Counts go down by one with each use.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Each call waits so long before it begins, in milliseconds.
+    /// Delay before each call, in milliseconds.
     pub delay_ms: u64,
-    /// Calls are refused with 503 before they have an effect.
+    /// Calls are refused with 503 and have no effect.
     pub down: bool,
-    /// Calls get no answer and have no effect, as behind a cut.
+    /// Calls get no answer and have no effect, as during a network partition.
     pub hang: bool,
-    /// So many calls take effect, and their answers are lost.
+    /// Number of calls that take effect but whose answer is lost.
     pub lose_answers: u32,
-    /// Only answers to calls whose body has this text are lost; empty means all.
-    /// Polls and renewals go on beside what a test is about.
+    /// Only calls whose body contains this text lose their answer; empty means all calls. Tests
+    /// use it to leave polls and lease renewals alone.
     pub lose_about: String,
-    /// So many calls are answered with bytes that aren't the protocol.
+    /// Number of calls that are answered with bytes that violate the protocol.
     pub nonsense: u32,
-    /// So many streams end without their end.
+    /// Number of streams that break before their end.
     pub break_streams: u32,
-    /// So many chunks carry the id of another request.
+    /// Number of chunks that carry the id of another request.
     pub cross_chunks: u32,
-    /// So many chunks are sent twice.
+    /// Number of chunks that are sent twice.
     pub double_chunks: u32,
-    /// So many streams' last chunks are sent twice.
+    /// Number of streams whose last chunk is sent twice.
     pub double_last: u32,
-    /// The next order breaks the engine in the middle of the change.
+    /// Number of orders during which the engine crashes.
     pub crash_in_order: u32,
-    /// A call whose body has this text crashes the stand-in: it gets no answer, and for
-    /// [`CRASH_DOWNTIME`] no connection is taken. Empty means none.
+    /// A call whose body contains this text crashes the server: the call gets no answer, and
+    /// connections are refused for [`CRASH_DOWNTIME`]. Empty means no call.
     pub crash_about: String,
 }
 
-/// How long a stand-in that crashed takes no connection.
+/// How long a server refuses connections after a crash.
 pub const CRASH_DOWNTIME: Duration = Duration::from_millis(600);
 
-/// The faults of one stand-in.
+/// Injects faults into one server.
 #[derive(Debug, Default)]
 pub struct FaultInjector {
     faults: Mutex<Faults>,
@@ -55,12 +55,12 @@
         *self.faults.lock().expect("no panic while locked") = faults;
     }
 
-    /// The faults in force.
+    /// Returns the faults in force.
     pub fn get(&self) -> Faults {
         self.faults.lock().expect("no panic while locked").clone()
     }
 
-    /// Uses up one of a count, if any is left.
+    /// Decrements a count of the faults. Returns whether any was left.
     pub fn consume(&self, count: fn(&mut Faults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().expect("no panic while locked");
         let n = count(&mut faults);
@@ -69,14 +69,14 @@
         used
     }
 
-    /// Whether the answer to a call with this body is to be lost.
+    /// Returns whether to drop the answer to a call with this body. Decrements the count if so.
     pub fn loses_answer(&self, body: &[u8]) -> bool {
         let pattern = self.get().lose_about;
         let is_match = String::from_utf8_lossy(body).contains(&pattern);
         is_match && self.consume(|f| &mut f.lose_answers)
     }
 
-    /// Whether a call with this body crashes the stand-in; it does so from then on.
+    /// Returns whether a call with this body crashes the server. Triggers the crash if so.
     pub fn triggers_crash(&self, body: &[u8]) -> bool {
         let pattern = self.get().crash_about;
         let is_match = !pattern.is_empty() && String::from_utf8_lossy(body).contains(&pattern);
@@ -87,17 +87,17 @@
         is_match
     }
 
-    /// Waits until the stand-in crashes.
+    /// Waits for the next crash.
     pub async fn wait_for_crash(&self) {
         self.crash_signal.notified().await;
     }
 
-    /// How often it crashed.
+    /// Returns the number of crashes.
     pub fn crash_count(&self) -> u32 {
         self.crash_count.load(Ordering::Relaxed)
     }
 
-    /// Waits as the faults say. Gives false if the call must be refused.
+    /// Applies delays and hangs. Returns false if the call must be refused.
     pub async fn admit(&self) -> bool {
         let f = self.get();
         if f.delay_ms > 0 {
@@ -110,5 +110,5 @@
     }
 }
 
-/// Time between looks at whether a hang is over.
+/// Interval between checks for the end of a hang.
 const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list, which lags behind the truth.
+//! A fake host list whose readers see changes late.
 
 use crate::fault::FaultInjector;
 use crate::serve::{Call, FakeServer, json, status};
@@ -9,7 +9,7 @@
 use store::http::PATH_HOSTS;
 use store::{Host, HostList, HostState};
 
-/// The stand-in. Hosts are set by `POST /set` with a [`Host`].
+/// A host list that is changed by `POST /set` with a [`Host`].
 #[derive(Debug)]
 pub struct FakeHostList {
     injector: FaultInjector,
@@ -18,7 +18,7 @@
 }
 
 impl FakeHostList {
-    /// A list whose readers see a change after `lag`.
+    /// Creates an empty list whose readers see each change after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self {
             injector: FaultInjector::default(),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Changes a host's state.
+    /// Sets a host's state.
     pub fn set(&self, name: &str, state: HostState) {
         let host = Host {
             name: name.to_owned(),
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,12 +1,12 @@
-//! Stand-ins for the platform and the upstreams.
+//! Fake servers that replace the platform's services and the upstreams in tests and benchmarks.
 //!
-//! Each is a small HTTP server, started in a test or as a process. All take
-//! faults by `POST /faults` (see [`Faults`]) and keep a history by
-//! `GET /history`, so that a run can be judged by what the stand-ins saw and
-//! not by what the product says of itself.
+//! Each is a small HTTP server that runs in a test or in a process of its own. All accept
+//! faults to inject by `POST /faults` (see [`Faults`]) and return what they received by
+//! `GET /history`, so that a test can check what the servers saw instead of what the product
+//! reports about itself.
 //!
-//! The rates of the engine are assumed: the users' engine figures aren't known.
-//! Nothing in the product depends on them.
+//! The engine's rates are assumptions, as the figures of the users' engines aren't known.
+//! The product doesn't depend on them.
 
 pub mod answer;
 pub mod clock;
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! A fake object store.
 
 use crate::fault::FaultInjector;
 use crate::serve::{Call, FakeServer, json, status};
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use store::http::{PATH_LIST, PATH_OBJECT};
 
-/// The stand-in.
+/// An object store that keeps its objects in memory.
 #[derive(Debug, Default)]
 pub struct FakeObjectStore {
     injector: FaultInjector,
@@ -35,7 +35,7 @@
             .cloned()
     }
 
-    /// Objects written so far.
+    /// Returns the number of writes so far.
     pub fn puts(&self) -> u64 {
         self.puts.load(Ordering::Relaxed)
     }
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service, which counts the runs of each call.
+//! A fake plain service that records each call it runs.
 
 use crate::answer::plain_digest;
 use crate::clock::now_ms;
@@ -10,32 +10,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Most runs that the history keeps.
+/// Largest number of runs in the history.
 const MAX_HISTORY: usize = 200_000;
 
-/// One run, as the service saw it.
+/// A call that the service ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The caller's key, or an empty text.
+    /// The caller's idempotency key, or an empty string.
     pub key: String,
-    /// The request's id as the system gave it.
+    /// The id that the system gave the request.
     pub request: String,
     /// Method and path.
     pub call: String,
     /// Digest of method, path and body.
     pub digest: String,
-    /// When it came, by [`crate::clock::now_ms`].
+    /// Arrival time by [`crate::clock::now_ms`].
     pub at_ms: u64,
 }
 
-/// What the service answers.
+/// The body of the service's answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainAnswer {
     /// Digest of method, path and body.
     pub digest: String,
 }
 
-/// The stand-in.
+/// A plain service whose calls take a fixed time.
 #[derive(Debug)]
 pub struct FakePlainService {
     injector: FaultInjector,
@@ -44,7 +44,7 @@
 }
 
 impl FakePlainService {
-    /// A service that takes `work` for each call.
+    /// Creates a service that takes `work_time` for each call.
     pub fn new(work_time: Duration) -> Self {
         Self {
             injector: FaultInjector::default(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The runs so far, in order.
+    /// Returns the runs so far, in order of arrival.
     pub fn history(&self) -> Vec<Run> {
         self.runs.lock().expect("no panic while locked").clone()
     }
--- a/crates/fakes/src/serve.rs
+++ b/crates/fakes/src/serve.rs
@@ -1,4 +1,4 @@
-//! The server that all stand-ins share.
+//! The HTTP server that all fakes share.
 
 use crate::fault::{CRASH_DOWNTIME, FaultInjector};
 use bytes::Bytes;
@@ -14,34 +14,34 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Largest body that a stand-in reads.
+/// Largest request body.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Longest wait for a body.
+/// Longest wait for a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Body of an answer that isn't the protocol.
+/// Body of an answer that violates the protocol.
 pub const NONSENSE: &str = "\u{0}nonsense{{{";
-/// Pause between two tries to listen again after a crash.
+/// Pause between two attempts to listen again after a crash.
 const REBIND_INTERVAL: Duration = Duration::from_millis(20);
-/// Largest head.
+/// Largest request head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// A stand-in's own part: it answers calls other than `/faults`.
+/// The part in which fakes differ: answering all calls other than `/faults`.
 pub trait FakeServer: Send + Sync + 'static {
-    /// The faults of this stand-in.
+    /// Returns the injector of this server's faults.
     fn injector(&self) -> &FaultInjector;
 
     /// Answers a call.
     fn answer(self: Arc<Self>, call: Call) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// A call to a stand-in, read in whole.
+/// A call with its complete body.
 #[derive(Debug)]
 pub struct Call {
     /// The method.
     pub method: Method,
     /// The path.
     pub path: String,
-    /// The query, or an empty text.
+    /// The query, or an empty string.
     pub query: String,
     /// The headers.
     pub headers: hyper::HeaderMap,
@@ -50,12 +50,12 @@
 }
 
 impl Call {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.body).ok()
     }
 
-    /// A header as text, or an empty text.
+    /// Returns a header, or an empty string if it is missing or not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -64,10 +64,10 @@
     }
 }
 
-/// A stand-in that runs in this process until it is dropped.
+/// A server that runs in this process until it is dropped.
 #[derive(Debug)]
 pub struct RunningServer {
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
     task: tokio::task::JoinHandle<()>,
 }
@@ -79,14 +79,14 @@
 }
 
 impl RunningServer {
-    /// Runs until the process ends.
+    /// Runs until the server ends.
     pub async fn forever(mut self) {
-        // An aborted or failed task ends the stand-in, and that is all there is to know.
+        // It doesn't matter whether the task was aborted or failed.
         let _ = (&mut self.task).await;
     }
 }
 
-/// Starts a stand-in on an address; port 0 takes any.
+/// Starts a server on an address. Port 0 chooses a free port. Fails if the address can't be bound.
 pub async fn start<S: FakeServer>(addr: SocketAddr, fake: Arc<S>) -> io::Result<RunningServer> {
     let listener = bind(addr)?;
     let addr = listener.local_addr()?;
@@ -100,7 +100,7 @@
     Ok(RunningServer { addr, task })
 }
 
-/// Serves, and after a crash takes no connection for a while.
+/// Serves calls. After each crash, refuses connections for [`CRASH_DOWNTIME`].
 async fn run<S: FakeServer>(
     addr: SocketAddr,
     mut listener: TcpListener,
@@ -172,22 +172,22 @@
     status(StatusCode::OK)
 }
 
-/// An answer that breaks off before its first byte.
+/// Returns an answer that is aborted before the first byte of its body.
 fn broken_answer() -> Response<Body> {
     let (_dropped, body) = stream(1);
     Response::new(body)
 }
 
-/// An answer with just a status.
+/// Returns an answer with a status and its name as the body.
 pub fn status(code: StatusCode) -> Response<Body> {
     let mut answer = Response::new(full(code.to_string()));
     *answer.status_mut() = code;
     answer
 }
 
-/// An answer in JSON.
+/// Returns an answer with a JSON body.
 pub fn json<T: Serialize>(value: &T) -> Response<Body> {
-    let text = serde_json::to_vec(value).expect("stand-ins' messages always encode");
+    let text = serde_json::to_vec(value).expect("messages of fakes always encode");
     let mut answer = Response::new(full(text));
     let kind = hyper::header::HeaderValue::from_static("application/json");
     answer
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table service.
+//! A fake transactional table service.
 
 use crate::fault::FaultInjector;
 use crate::serve::{Call, FakeServer, json, status};
@@ -10,10 +10,10 @@
 use store::http::{CommitBody, PATH_COMMIT, PATH_READ, PATH_SCAN, ScanBody};
 use store::{Conflict, Row, Txn};
 
-/// Most commits that the history keeps.
+/// Largest number of written rows in the history.
 const MAX_HISTORY: usize = 200_000;
 
-/// The stand-in.
+/// A table service that keeps its rows in memory.
 #[derive(Debug, Default)]
 pub struct FakeTable {
     injector: FaultInjector,
@@ -27,21 +27,21 @@
     history: History,
 }
 
-/// What the stand-in saw.
+/// The calls that the table service answered.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct History {
-    /// Reads and scans answered.
+    /// Number of reads and scans.
     pub reads: u64,
-    /// Transactions committed.
+    /// Number of committed transactions.
     pub commits: u64,
-    /// Transactions refused.
+    /// Number of refused transactions.
     pub refused: u64,
-    /// Rows written, in order.
+    /// Written rows, in order of their commits.
     pub written: Vec<Row>,
 }
 
 impl FakeTable {
-    /// What the table service saw.
+    /// Returns what the table service did so far.
     pub fn history(&self) -> History {
         self.state
             .lock()
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -1,25 +1,25 @@
-//! The promises, checked over what clients got and workers saw.
+//! Checks the guarantees by comparing what clients got with what workers ran.
 
 use crate::disruption::{Delivery, Timeline, is_aborted};
 use crate::keys::{Key, Keys, check_keys};
 use serde::Serialize;
 use std::time::Instant;
 
-/// What a client may expect of a request.
+/// Kind of a request, which decides how often it may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// A request that may run more than once.
     Idempotent,
-    /// May run once.
+    /// A request that may run at most once.
     NonIdempotent,
-    /// A stream that may go on elsewhere.
+    /// A stream that may be resumed at another worker.
     Resumable,
-    /// A stream that may run once.
+    /// A stream that may run at most once.
     Stream,
 }
 
 impl RequestKind {
-    /// Whether it may run once at most.
+    /// Returns whether it may run at most once.
     fn is_once(self) -> bool {
         matches!(self, Self::NonIdempotent | Self::Stream)
     }
@@ -32,102 +32,102 @@
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// An answer, with its status and body; whole as the protocol has it.
+    /// A complete answer with its status and body.
     Whole(u16, String),
-    /// The connection broke, or nothing came in time.
+    /// The connection broke, or no complete answer came in time.
     Broken,
 }
 
-/// A request as its client saw it.
+/// A request as observed by its client.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     /// Its id.
     pub id: String,
-    /// What may be done with it.
+    /// Its kind.
     pub kind: RequestKind,
     /// How it ended.
     pub end: RequestEnd,
-    /// Where it went, and when.
+    /// Where and when it was sent.
     pub delivery: Delivery,
-    /// The key that it bore.
+    /// The API key that it carried.
     pub key: Key,
 }
 
-/// A request as a worker saw it.
+/// A request as observed by the worker that ran it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerRun {
     /// Its id.
     pub id: String,
-    /// Event after which it went on.
+    /// Id of the event after which a stream was resumed.
     pub resumed_after: Option<u64>,
-    /// Whether the worker was told to do something else with it than to serve it.
+    /// Whether the worker was told to misbehave instead of serving it.
     pub by_script: bool,
-    /// The tenant that the worker was told.
+    /// The tenant that the gateway passed to the worker.
     pub tenant: Option<String>,
-    /// Whether the worker was shown the key.
+    /// Whether the gateway passed the API key to the worker.
     pub shows_key: bool,
 }
 
-/// A time in which a worker should have got no new request.
+/// A period after the notice of a leaving worker in which it should get no new request.
 #[derive(Debug, Clone)]
 pub struct Departure {
-    /// Requests that it got in that time.
+    /// Requests that it got in that period.
     pub late_requests: usize,
-    /// When the time began.
+    /// When the period began.
     pub since: Instant,
 }
 
-/// Counts of broken promises; all must be 0.
+/// Numbers of violations. All must be 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Answers with a body that isn't the request's own.
+    /// Answers whose body belongs to another request.
     pub mixed: usize,
-    /// Requests that ran twice though they may not.
+    /// Requests that ran more than once but may run at most once.
     pub twice: usize,
-    /// Requests that were called not run and have run.
+    /// Requests that were refused as not run but had run.
     pub refused_but_ran: usize,
     /// Runs of requests that no client sent.
     pub unasked: usize,
-    /// Streams that looked whole with a piece missing, doubled or out of order.
+    /// Streams that looked complete but had a missing, doubled or misplaced piece.
     pub disordered: usize,
-    /// Requests that reached a worker long after it said that it leaves.
+    /// Requests that reached a worker long after its notice that it leaves.
     pub late_at_leaving: usize,
-    /// Requests that a planned stop alone had, and that got no whole answer though
-    /// they could have been refused as not run.
+    /// Requests that got no complete answer because of a planned stop, though they could have
+    /// been refused as not run.
     pub cut_by_stop: usize,
-    /// Requests that crash workers and that were sent on after it was known.
+    /// Requests that crash workers and were still sent to workers after this was known.
     pub sent_again: usize,
-    /// Requests of others that were refused for good as if they crashed workers.
+    /// Harmless requests that were blocked as if they crashed workers.
     pub held_wrongly: usize,
-    /// Nothing was served after the last fault.
+    /// 1 if some gateway didn't serve after the last fault, else 0.
     pub not_recovered: usize,
-    /// Runs under another tenant than the key's, or that were shown the key.
+    /// Runs whose worker got another tenant than the key's, or got the key itself.
     pub told_wrongly: usize,
-    /// Requests that ran though their key had been out of force for longer than the bound.
+    /// Requests that ran though their key had been revoked for longer than the bound.
     pub ran_without_key: usize,
-    /// Requests with a good key that were refused as if it weren't.
+    /// Requests that were refused as unauthorized though their key was always valid.
     pub denied: usize,
-    /// Windows of usage with two reports that differ.
+    /// Reports of a usage window that differ from an earlier report of it.
     pub reported_twice: usize,
-    /// Reports under a token that was past, or by holders in turn.
+    /// Reports with an outdated fencing token, or from two holders that overlap.
     pub badly_fenced: usize,
-    /// The usage after the last fault is off.
+    /// 1 if the usage reported for the last phase is wrong, else 0.
     pub usage_off: usize,
-    /// Keys that stand in a log.
+    /// Logs that contain an API key.
     pub keys_logged: usize,
 }
 
 impl Verdict {
-    /// Whether each promise was kept.
+    /// Returns whether there was no violation.
     pub fn is_clean(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Pieces of each stream.
+/// Number of pieces in each stream.
 pub const PIECES: u64 = 4;
 
-/// Compares what clients got with what workers saw.
+/// Checks the requests of clients against the runs of workers.
 pub fn check_history(
     requests: &[ClientRequest],
     runs: &[WorkerRun],
@@ -152,21 +152,21 @@
         let own_runs = runs_of(&sorted_runs, &request.id);
         check_answer(request, own_runs.len(), &mut out);
         let is_stopped = || timeline.stop_to_blame(request, own_runs).is_some();
-        // What runs nowhere any more as its key was taken away isn't cut by the stop.
+        // A request that can't run anywhere because its key was revoked isn't cut by the stop.
         let is_aborted = is_aborted(request, own_runs) && !keys.is_revoked_during(request);
         out.cut_by_stop += usize::from(is_aborted && is_stopped());
     }
     out
 }
 
-/// Runs in the order of their requests' ids.
+/// Sorts runs by request id.
 pub fn sort_by_id(runs: &[WorkerRun]) -> Vec<&WorkerRun> {
     let mut sorted: Vec<&WorkerRun> = runs.iter().collect();
     sorted.sort_by(|a, b| a.id.cmp(&b.id));
     sorted
 }
 
-/// The runs of a request, of all in the order of their ids.
+/// Returns the runs of a request. `runs` must be sorted by request id.
 pub fn runs_of<'a, 'b>(runs: &'b [&'a WorkerRun], id: &str) -> &'b [&'a WorkerRun] {
     let from = runs.partition_point(|r| r.id.as_str() < id);
     let len = runs[from..].iter().take_while(|r| r.id == id).count();
@@ -181,7 +181,7 @@
         return;
     };
     match (*status, request.kind) {
-        // Nothing is wrong with any of them, whatever upstreams did.
+        // All requests are valid, so a 400 means that the request was blocked.
         (400, _) => out.held_wrongly += 1,
         (200, kind) if kind.is_stream() && !is_ordered(body) => out.disordered += 1,
         (200, _) if has_foreign_body(request) => out.mixed += 1,
@@ -190,7 +190,7 @@
     }
 }
 
-/// Whether a plain request was answered with success and another body than its own.
+/// Returns whether a plain request got a successful answer with another request's body.
 pub fn has_foreign_body(request: &ClientRequest) -> bool {
     let is_plain = !request.kind.is_stream();
     is_plain && matches!(&request.end, RequestEnd::Whole(200, body) if *body != request.id)
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that keep their connections as long as these live.
+//! Clients that send requests over kept-alive connections.
 
 use crate::checker::{ClientRequest, RequestEnd, RequestKind};
 use crate::disruption::Delivery;
@@ -11,29 +11,29 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Longest wait for an answer: past the requests' deadline of 4 s.
+/// Longest wait for an answer. Longer than the requests' deadline of 4 s.
 const TIMEOUT: Duration = Duration::from_secs(6);
 /// Longest pause between two requests of a client, in milliseconds.
 const MAX_PAUSE_MS: u64 = 40;
 
-/// Longest time that the other answers of a slow client take where long ones are rare.
+/// Longest duration of the other answers of a slow client if long ones are rare.
 const QUICK_ANSWER_MS: u64 = 60;
 
-/// How long the answers take that a client asks for.
+/// How long the requests of a client take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pace {
-    /// None at all.
+    /// No time at all.
     Quick,
     /// Up to seconds, in pieces.
     Slow(Slow),
 }
 
-/// How long the answers of a slow client take.
+/// How long the requests of a slow client take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Slow {
-    /// The longest, in milliseconds.
+    /// Longest duration, in milliseconds.
     pub longest_ms: u64,
-    /// One in so many takes up to that; the others take a moment.
+    /// One in so many takes up to the longest duration, the others up to `QUICK_ANSWER_MS`.
     pub one_in: u64,
 }
 
@@ -46,27 +46,27 @@
     }
 }
 
-/// How far a soak has come.
+/// Phase of a soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Faults may happen.
     Faults,
-    /// The last fault is over, and usage must be right from now on.
+    /// No more faults happen, and usage must be reported correctly.
     Last,
-    /// Clients end.
+    /// Clients stop.
     Over,
 }
 
-/// What all clients got.
+/// The requests of all clients, with their ends.
 pub type History = Arc<Mutex<Vec<ClientRequest>>>;
 
-/// A client that sends requests until it is told to stop.
+/// Sends requests one after the other until the phase is [`Phase::Over`].
 pub async fn run(
     name: u32,
     pace: Pace,
     gateways: Vec<SocketAddr>,
     history: History,
-    mut stop: watch::Receiver<Phase>,
+    mut phase: watch::Receiver<Phase>,
     seed: u64,
 ) {
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -75,10 +75,10 @@
         let pause = Duration::from_millis(rng.u64(..MAX_PAUSE_MS));
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            _ = stop.wait_for(|phase| *phase == Phase::Over) => return,
+            _ = phase.wait_for(|phase| *phase == Phase::Over) => return,
         }
         let id = format!("c{name}-{n}");
-        let is_last = *stop.borrow() == Phase::Last;
+        let is_last = *phase.borrow() == Phase::Last;
         let key = Key::draw(name, is_last, &mut rng);
         let (kind, text) = draw_request(pace, &id, key, &mut rng);
         let mut delivery = Delivery {
@@ -104,7 +104,7 @@
     }
 }
 
-/// A request's kind and text.
+/// Draws a request. Returns its kind and its HTTP text.
 fn draw_request(pace: Pace, id: &str, key: Key, rng: &mut fastrand::Rng) -> (RequestKind, String) {
     let (kind, method, path) = match (pace, rng.u32(..10)) {
         (Pace::Quick, 0..4) | (Pace::Slow(_), 0..2) => (RequestKind::Idempotent, "GET", "/safe/"),
@@ -115,30 +115,36 @@
         (Pace::Slow(_), 8..) => (RequestKind::Stream, "POST", "/prompt/"),
         _ => (RequestKind::Resumable, "POST", "/resumable/"),
     };
-    let takes = match pace {
+    let duration_ms = match pace {
         Pace::Quick => 0,
-        // Most take far less than the longest.
+        // Most requests take far less than the longest duration.
         Pace::Slow(slow) => slow.draw_ms(rng),
     };
     let prompt = match path {
         "/prompt/" => PROMPT,
         _ => "",
     };
-    let more = format!("{prompt}{}", key.header());
+    let extra_headers = format!("{prompt}{}", key.header());
     (
         kind,
-        request(method, &format!("{path}{takes}"), id, &more, "x"),
+        request(
+            method,
+            &format!("{path}{duration_ms}"),
+            id,
+            &extra_headers,
+            "x",
+        ),
     )
 }
 
-/// A connection that is kept, and the number of its gateway.
+/// A kept-alive connection and the number of its gateway.
 struct OpenConnection {
     tcp: TcpStream,
     gateway: usize,
 }
 
-/// Sends a request on the kept connection, whether or not its process is stopping, or on
-/// a new one; none if it broke, or nobody takes one.
+/// Sends a request on the kept connection, even if its process is stopping, or on a new one.
+/// Returns none if the connection broke or no gateway accepts one.
 async fn send_request(
     connection: &mut Option<OpenConnection>,
     gateways: &[SocketAddr],
@@ -167,7 +173,8 @@
     }
 }
 
-/// Connects to the first that takes a connection, as a balancer does where none is ready.
+/// Connects to the first gateway that accepts a connection, as a balancer does if none is
+/// ready.
 async fn connect(gateways: &[SocketAddr], first: usize) -> Option<OpenConnection> {
     for n in 0..gateways.len() {
         let gateway = (first + n) % gateways.len();
@@ -178,7 +185,8 @@
     None
 }
 
-/// The answer in a buffer once it is whole, and whether the connection goes on.
+/// Parses the answer in a buffer once it is complete. Also returns whether the connection can
+/// be kept.
 fn parse_answer(buf: &[u8]) -> Option<(RequestEnd, bool)> {
     let text = std::str::from_utf8(buf).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -191,6 +199,6 @@
     }
     let len = head.split("content-length: ").nth(1)?;
     let len: usize = len.split("\r\n").next()?.parse().ok()?;
-    // More than the announced bytes would be another's answer: judged as body.
+    // Excess bytes would belong to another answer. They are kept, so the check finds them.
     (body.len() >= len).then(|| (RequestEnd::Whole(status, body.to_owned()), may_keep))
 }
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! What a soak runs: gateways as processes, a store and workers behind relays.
+//! The system under test: gateway processes, a store and workers, all connected by relays.
 
 use crate::checker::PIECES;
 use crate::crashing::CrashingRequest;
@@ -19,30 +19,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Gateways of a soak.
+/// Number of gateways.
 pub const GATEWAYS: u8 = 3;
-/// Workers of a soak.
+/// Number of workers at the start.
 pub const WORKERS_COUNT: u8 = 4;
-/// Engines of a soak.
+/// Number of engines.
 pub const ENGINES_COUNT: u8 = 2;
 
-/// Text in the body of the requests that crash workers.
+/// Text in the bodies of requests that crash workers.
 pub const CRASHING_BODY: &str = "deadly";
-/// How long a worker is away after a crash.
+/// How long a worker is down after a crash.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
-/// Time between two heartbeats of a worker.
+/// Interval of a worker's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
-/// Start of all workers, by their clocks, in milliseconds.
+/// Start time that all workers report, in milliseconds.
 const STARTED_AT_MS: u64 = 1_700_000_000_000;
 
-/// A gateway: its process, and where clients reach it.
+/// A gateway process and its addresses.
 #[derive(Debug)]
 pub struct Gateway {
     /// The process.
     pub proc: Proc,
-    /// Where clients connect.
+    /// The address for clients.
     pub client_addr: SocketAddr,
-    /// The relay between it and the store.
+    /// The relay between the process and the store.
     pub store: Relay,
     name: String,
     settings: PathBuf,
@@ -53,36 +53,36 @@
 pub struct Upstream {
     /// The worker.
     pub worker: Worker,
-    /// Its id.
+    /// The id under which it is registered.
     pub id: String,
-    /// The relay before it, under the address that it registers.
+    /// The relay in front of the worker.
     pub relay: Relay,
-    /// That address.
+    /// The relay's address, which the worker registers.
     pub addr: SocketAddr,
-    /// What the relay does.
+    /// The relay's current behavior.
     link: Link,
 }
 
-/// All of it.
+/// The gateways, the store and the workers of a soak.
 #[derive(Debug)]
 pub struct Cluster {
     /// The store.
     pub store: Arc<Store>,
-    /// The platform's calls that one host makes for all.
+    /// The platform's endpoint for usage reports, which one host calls for all.
     pub cloud: Cloud,
-    /// Tenants' keys.
+    /// The tenants' API keys.
     pub keys: Keys,
-    /// Requests that were sent to crash workers.
+    /// Requests that crash workers.
     pub crashing_requests: Vec<CrashingRequest>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    /// Workers that are registered.
+    /// Registered workers.
     pub upstreams: Vec<Upstream>,
-    /// Engines. Nothing happens to them; they answer as workers do.
+    /// Engines. They get no faults and answer as workers do.
     pub engines: Vec<Upstream>,
-    /// Workers that have left; their histories still count.
+    /// Workers that were removed. The check still includes what they ran.
     pub removed_upstreams: Vec<Upstream>,
-    /// Planned stops, and what excuses a cut answer.
+    /// Planned stops, and the disruptions that excuse a cut answer.
     pub timeline: Timeline,
     net: u8,
     binary: PathBuf,
@@ -91,7 +91,7 @@
 }
 
 impl Cluster {
-    /// Starts all of it on the addresses 127.65.NET.0/24, with files in a folder.
+    /// Starts the cluster on the addresses 127.65.NET.0/24, with settings and logs in `dir`.
     pub async fn start(net: u8, binary: &Path, dir: &Path) -> io::Result<Self> {
         let store = Arc::new(Store::start(address(net, 1, 7000))?);
         let mut cluster = Self {
@@ -141,28 +141,28 @@
         Ok(())
     }
 
-    /// Changes how the store treats calls.
+    /// Sets how the store answers calls.
     pub fn set_store(&mut self, mode: Mode) {
         self.store.set_mode(mode);
         self.keys
             .record_store(None, mode == Mode::Serve, Instant::now());
     }
 
-    /// Changes the link between a gateway and the store.
+    /// Sets the behavior of the link between a gateway and the store.
     pub fn set_store_link(&mut self, n: usize, link: Link) {
         self.gateways[n].store.set(link);
         self.keys
             .record_store(Some(n), link == Link::Open, Instant::now());
     }
 
-    /// Takes a tenant's second key away, or gives it back.
+    /// Revokes a tenant's revocable key, or restores it.
     pub fn toggle_key(&mut self, tenant: usize) {
-        // Out of force from the store's answer on, in force again before it.
+        // Recorded before the store is written, so that a restored key counts as valid at once.
         self.keys.toggle(tenant, Instant::now());
         self.change_config();
     }
 
-    /// Starts a gateway's process anew, once the old one has ended.
+    /// Starts a gateway's process again after the old one has ended.
     pub fn restart(&mut self, n: usize) -> io::Result<()> {
         let now = Instant::now();
         if let Some(stop) = self.stop_of(n) {
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Sends a gateway's process a signal, and notes what it excuses.
+    /// Sends a signal to a gateway's process and records the stop or disruption that it causes.
     pub fn signal(&mut self, n: usize, signal: Signal) {
         let now = Instant::now();
         match signal {
@@ -190,7 +190,8 @@
         self.gateways[n].proc.signal(signal);
     }
 
-    /// Kills what hasn't ended within the grace, as the platform does. It excuses nothing.
+    /// Kills processes that haven't ended within the grace period, as the platform does. Such a
+    /// kill excuses no cut answer.
     pub fn kill_overdue(&self) {
         let is_over = |s: &&PlannedStop| s.until.is_none() && s.signal.elapsed() >= STOP_GRACE;
         for stop in self.timeline.stops.iter().filter(is_over) {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Changes the link to a worker, and notes what it excuses.
+    /// Sets the behavior of the link to a worker and records the disruption.
     pub fn set_worker_link(&mut self, n: usize, link: Link) {
         self.upstreams[n].link = link;
         self.upstreams[n].relay.set(link);
@@ -218,7 +219,7 @@
         stops.find(|s| s.gateway == n && s.until.is_none())
     }
 
-    /// Notes a fault, unless one of the same is under way.
+    /// Records the start of a disruption, unless one of the same gateway is in progress.
     fn begin_disruption(&mut self, gateway: Option<usize>, from: Instant) {
         let mut disruptions = self.timeline.disruptions.iter();
         if disruptions.any(|t| t.gateway == gateway && t.until.is_none()) {
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Starts a worker that some requests crash, and registers it.
+    /// Starts a worker that crashes on requests with [`CRASHING_BODY`], and registers it.
     pub async fn add_worker(&mut self) -> io::Result<()> {
         let upstream = self.start_upstream().await?;
         self.register(&upstream, "ready");
@@ -261,7 +262,7 @@
         Ok(())
     }
 
-    /// Starts an upstream behind a relay, under an id of its own.
+    /// Starts an upstream with a new id behind a relay.
     async fn start_upstream(&mut self) -> io::Result<Upstream> {
         let n = self.started;
         self.started += 1;
@@ -280,14 +281,14 @@
         })
     }
 
-    /// Writes a worker's row.
+    /// Writes a worker's row in the registry.
     pub fn register(&self, upstream: &Upstream, state: &str) {
         let born = upstream.worker.born().unwrap_or_default();
         register(&self.store, &upstream.id, born, upstream.addr, state);
     }
 
-    /// Lets another writer spoil a worker's row, or write one of its own, until the worker's
-    /// next heartbeat.
+    /// Overwrites a worker's row with an unreadable one until the worker's next heartbeat, and
+    /// adds another unreadable row, as a faulty writer would.
     pub fn corrupt_row(&self, n: usize, rng: &mut fastrand::Rng) {
         let upstream = &self.upstreams[n];
         let born = upstream.worker.born().unwrap_or_default();
@@ -300,31 +301,31 @@
         let bad = bad.clone();
         tokio::spawn(async move {
             tokio::time::sleep(HEARTBEAT_INTERVAL).await;
-            // It may have started again, or left.
+            // The worker may have restarted or left.
             if store.raw(WORKERS, &id) == Some(bad) {
                 register(&store, &id, born, addr, "ready");
             }
         });
     }
 
-    /// How often a request with a body has reached workers.
+    /// Returns how many times workers received a request with this body.
     pub fn times_received(&self, body: &str) -> usize {
         let all = self.upstreams.iter().chain(&self.removed_upstreams);
         let seen = all.flat_map(|u| u.worker.seen());
         seen.filter(|s| s.body == body.as_bytes()).count()
     }
 
-    /// Removes a worker's row; it goes on serving what it has.
+    /// Removes a worker's row. The worker keeps serving the requests that it has.
     pub fn retire(&mut self, n: usize) {
         let upstream = self.upstreams.remove(n);
-        // It isn't registered anew.
+        // A crash must not register it again.
         upstream.worker.crash_on(None);
         self.store.remove(WORKERS, &upstream.id);
         self.removed_upstreams.push(upstream);
         self.record_worker_links();
     }
 
-    /// Writes a new version of the configuration, with a route more each time.
+    /// Writes a new version of the configuration, with one additional route.
     pub fn change_config(&mut self) {
         self.version += 3;
         let mut all = routes();
@@ -336,7 +337,7 @@
         self.store.put(CONFIG.0, CONFIG.1, &config);
     }
 
-    /// Waits until each gateway serves, at most for a time; says whether all do.
+    /// Waits up to `bound` until all gateways serve. Returns whether they do.
     pub async fn all_serve(&self, bound: Duration) -> bool {
         let key = Key::Permanent(0).header();
         let all = self.gateways.iter().map(|g| serves(g.client_addr, &key));
--- a/crates/soak/src/crashing.rs
+++ b/crates/soak/src/crashing.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the worker that runs them, and come again to any gateway.
+//! Requests that crash each worker that runs them, and that clients repeat at any gateway.
 
 use crate::cluster::{CRASHING_BODY, Cluster};
 use crate::disruption::Disruption;
@@ -11,21 +11,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The key that they bear.
+/// The API key of these requests.
 const CRASH_KEY: Key = Key::Permanent(0);
-/// Times that one comes.
+/// How many times a request is sent.
 const REPEATS: usize = 10;
-/// Longest pause between two times, in milliseconds.
+/// Longest pause between two sends, in milliseconds.
 const MAX_PAUSE_MS: u64 = 400;
-/// Longest time over which one comes, and time after which all workers are back.
+/// Longest time over which a request is sent repeatedly.
 const MAX_SERIES_TIME: Duration = Duration::from_secs(6);
+/// Time after which all crashed workers are back.
 const RESTART_TIME: Duration = Duration::from_secs(2);
 /// Longest wait for an answer.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after the third end from which on few more sends are allowed, and room for a busy
-/// machine.
+/// Time after the third crash from which on only [`MAX_LATER_SENDS`] are allowed, with a margin
+/// for a busy machine.
 const SETTLE_TIME: Duration = Duration::from_millis(3500);
-/// Sends that are allowed then.
+/// Number of times that a request may still reach workers after that.
 const MAX_LATER_SENDS: usize = 3;
 
 /// A request that crashes workers.
@@ -35,14 +36,14 @@
     body: String,
 }
 
-/// Lets a new one come several times, beside whatever else happens.
+/// Starts sending a new crashing request repeatedly, concurrently with other faults.
 pub fn begin(cluster: &mut Cluster, rng: &mut fastrand::Rng) {
     let body = format!("{CRASHING_BODY} {}", cluster.crashing_requests.len());
     let path = ["/safe/0", "/twice/0"][rng.usize(..2)];
     let gateways = addresses(cluster);
     let crashing = CrashingRequest { path, body };
     cluster.crashing_requests.push(crashing.clone());
-    // What workers break off as they crash no gateway can end.
+    // Answers that crashing workers abort are no fault of the gateways.
     let from = Instant::now();
     cluster.timeline.disruptions.push(Disruption {
         gateway: None,
@@ -58,14 +59,15 @@
                 tokio::time::sleep(Duration::from_millis(rng.u64(..MAX_PAUSE_MS))).await;
             }
         };
-        // What is still on its way then is cancelled.
+        // Sends that are still in progress then are cancelled.
         let _ = tokio::time::timeout(MAX_SERIES_TIME, sent).await;
     });
 }
 
-/// Once all is calm: those whose ends the store keeps come again, to all gateways; gives how
-/// many reached workers too often. Where the store took no write before all that knew were
-/// killed, nobody can know.
+/// Sends the requests whose crashes the store has recorded to all gateways again. Returns how many
+/// of them reached workers too often. Call this after the faults have ended. Other requests are
+/// left out: if all gateways that knew of their crashes were killed while the store accepted no
+/// writes, the crashes are unknown.
 pub async fn sent_again(cluster: &Cluster) -> usize {
     tokio::time::sleep(SETTLE_TIME).await;
     let mut bad = 0;
@@ -93,7 +95,7 @@
     bad
 }
 
-/// Whether the store keeps so many ends that it isn't to be sent.
+/// Returns whether the store has recorded enough crashes for the request to be blocked.
 fn has_enough_crashes(cluster: &Cluster, crashing: &CrashingRequest) -> bool {
     let CrashingRequest { path, body } = crashing;
     let tenant = CRASH_KEY.tenant();
@@ -110,18 +112,18 @@
     cluster.gateways.iter().map(|g| g.client_addr).collect()
 }
 
-/// Sends one; what it is answered doesn't matter.
+/// Sends a request and ignores the answer.
 async fn send(to: SocketAddr, crashing: &CrashingRequest, n: usize) {
     let CrashingRequest { path, body } = crashing;
     let id = format!("{}-{n}", body.replace(' ', "-"));
-    let more = format!("connection: close\r\n{}", CRASH_KEY.header());
-    let text = request("POST", path, &id, &more, body);
+    let extra_headers = format!("connection: close\r\n{}", CRASH_KEY.header());
+    let text = request("POST", path, &id, &extra_headers, body);
     let exchange = async {
         let mut tcp = TcpStream::connect(to).await?;
         tcp.write_all(text.as_bytes()).await?;
         let mut answer = Vec::new();
         tcp.read_to_end(&mut answer).await
     };
-    // Nobody may listen just now; it comes again.
+    // The gateway may not be listening now. The request is sent again later.
     let _ = tokio::time::timeout(TIMEOUT, exchange).await;
 }
--- a/crates/soak/src/disruption.rs
+++ b/crates/soak/src/disruption.rs
@@ -1,53 +1,55 @@
-//! The promise of a planned stop: what the process took on, it ends or says that it
-//! hasn't run.
+//! The guarantee of a planned stop: the process answers each request that it accepted, or
+//! reports that the request hasn't run.
 
 use crate::checker::{ClientRequest, RequestEnd, WorkerRun};
 use std::time::{Duration, Instant};
 
-/// Time between SIGTERM and SIGKILL, as the gateways' settings say.
+/// Time between SIGTERM and SIGKILL, as in the gateways' settings.
 pub const STOP_GRACE: Duration = Duration::from_secs(8);
-/// Time after the signal up to which requests may last too long to be ended: the balancer
-/// has noticed by then.
+/// Time after the signal within which clients may still send requests that last too long to be
+/// finished. By its end the balancer has noticed the stop.
 const BALANCER_DELAY: Duration = Duration::from_secs(3);
-/// Part of the grace after which such a request may be broken off.
+/// Part of the grace period after which such a request may be aborted.
 const ABORT_FRACTION: f64 = 5.0 / 6.0;
-/// Time after a fault in which its effects excuse a request.
+/// Time after a disruption in which its effects still excuse a cut answer.
 const DISRUPTION_AFTEREFFECT: Duration = Duration::from_secs(3);
-/// Time that a request may last by its own deadline of 4 s, but for rounding.
+/// Duration from which on a request counts as ended by its own deadline of 4 s. The difference
+/// allows for rounding.
 const REQUEST_DEADLINE: Duration = Duration::from_millis(3900);
 
-/// Which process a request was sent to, and when.
+/// Where and when a request was sent, and when it ended.
 #[derive(Debug, Clone)]
 pub struct Delivery {
     /// Number of the gateway.
     pub gateway: usize,
-    /// When it was written whole; none if it wasn't.
+    /// When the client had written all of it, or none if it couldn't.
     pub sent: Option<Instant>,
-    /// When it ended for the client.
+    /// When the request ended for the client.
     pub ended: Instant,
-    /// Whether any byte of an answer came.
+    /// Whether any byte of an answer arrived.
     pub answer_started: bool,
 }
 
-/// A planned stop of a process.
+/// A planned stop of a gateway process.
 #[derive(Debug, Clone)]
 pub struct PlannedStop {
     /// Number of the gateway.
     pub gateway: usize,
-    /// When it was first told.
+    /// When the process got the first signal.
     pub signal: Instant,
-    /// When another process took its place; none if that is still to come.
+    /// When a new process replaced it, or none if that hasn't happened.
     pub until: Option<Instant>,
 }
 
-/// A fault that excuses an answer which is cut.
+/// A fault that excuses cut answers.
 #[derive(Debug, Clone)]
 pub struct Disruption {
-    /// The process that was killed or paused; none for a link to a worker, which all use.
+    /// Number of the gateway that was killed or paused, or none for a link to a worker, as all
+    /// gateways use those.
     pub gateway: Option<usize>,
     /// When it began.
     pub from: Instant,
-    /// When it ended; none if that is still to come.
+    /// When it ended, or none if it hasn't.
     pub until: Option<Instant>,
 }
 
@@ -60,18 +62,19 @@
     }
 }
 
-/// All planned stops, and what excuses a cut.
+/// All planned stops and disruptions of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Timeline {
     /// Planned stops.
     pub stops: Vec<PlannedStop>,
-    /// Faults.
+    /// Disruptions that excuse cut answers.
     pub disruptions: Vec<Disruption>,
 }
 
 impl Timeline {
-    /// The stop that alone can have cut a request; none if the request ended before, or
-    /// something else was wrong, or it came too early to be ended.
+    /// Returns the stop that must have cut a request. Returns none if the request ended before
+    /// the stop, reached its own deadline, met another disruption, or was sent soon after the
+    /// signal and lasted almost until the kill.
     pub fn stop_to_blame(
         &self,
         request: &ClientRequest,
@@ -94,7 +97,7 @@
             && ended >= stop.signal + STOP_GRACE.mul_f64(ABORT_FRACTION);
         let is_past_deadline = ended.duration_since(sent) >= REQUEST_DEADLINE;
         let is_broken = own_runs.iter().any(|r| r.by_script);
-        // A pause shifts what the process knows of its own stop.
+        // A process that was paused learns late of its own stop.
         let since = |t: &Disruption| t.gateway.map_or(sent, |_| sent.min(stop.signal));
         let is_disrupted = self
             .disruptions
@@ -105,8 +108,8 @@
     }
 }
 
-/// Whether a request that its process read whole ended without a whole answer, or with
-/// the process's own words that it may have run.
+/// Returns whether a request that its process had read got no complete answer, or an answer
+/// that the request may have run.
 pub fn is_aborted(request: &ClientRequest, own_runs: &[&WorkerRun]) -> bool {
     match &request.end {
         RequestEnd::Broken => request.delivery.answer_started || !own_runs.is_empty(),
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn by a seed, in series and overlapping.
+//! Injects the faults of a schedule, which may overlap.
 
 use crate::checker::{Departure, PIECES};
 use crate::cluster::Cluster;
@@ -13,15 +13,15 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Time after a worker's notice past which a new request breaks the promise: the
-/// bound, and room for a busy machine.
+/// Time after a worker's notice from which on it must get no new request: the bound, and a margin
+/// for a busy machine.
 const DRAIN_GRACE: Duration = DRAIN_BOUND.saturating_add(Duration::from_millis(500));
-/// Of the notices that are drawn, one in so many is given: each needs calm.
+/// One in so many drawn notices is given, as each needs a time without faults.
 const LEAVE_ONE_IN: u32 = 3;
-/// Time without any fault before and during a notice, so that the promise holds.
+/// Time without any fault before and during a notice, which the guarantee requires.
 const QUIET_TIME: Duration = Duration::from_secs(4);
 
-/// Longest look at whether all serve, before processes that ended are started anew.
+/// Longest check whether all gateways serve, before ended processes are started again.
 const READY_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A kind of fault.
@@ -32,38 +32,38 @@
     Kill,
     /// A process is told to stop.
     Stop,
-    /// A process is paused, or goes on.
+    /// A process is paused or resumed.
     Pause,
-    /// A process is told to read its settings again.
+    /// A process is told to reload its settings.
     Hangup,
-    /// The store refuses, is silent, or serves again.
+    /// The store refuses calls, doesn't answer, or serves again.
     Store,
     /// The link between a process and the store changes.
     StoreLink,
     /// The link to a worker changes.
     WorkerLink,
-    /// A worker answers wrongly for some requests.
+    /// A worker misbehaves for some requests.
     Answers,
     /// The configuration changes.
     Config,
-    /// A worker comes or goes.
+    /// A worker is added or removed.
     Scale,
-    /// A worker leaves in calm.
+    /// A worker leaves while there are no other faults.
     Leave,
-    /// The store forgets its history.
+    /// The store drops its history of changes.
     Forget,
-    /// A request that crashes workers comes.
+    /// A request that crashes workers is sent.
     Deadly,
-    /// Another writer spoils a worker's row.
+    /// Another writer overwrites a worker's row with an unreadable one.
     BadRow,
-    /// A tenant's second key is taken away, or given back.
+    /// A tenant's revocable key is revoked or restored.
     Key,
-    /// The platform's calls are refused or not answered, or are again.
+    /// The platform refuses usage reports, doesn't answer them, or serves again.
     Cloud,
 }
 
 impl Fault {
-    /// Draws one, with the pause before it in milliseconds.
+    /// Draws a fault and the pause before it in milliseconds.
     pub fn draw(rng: &mut fastrand::Rng) -> (u64, Self) {
         let pause_ms = rng.u64(50..700);
         (pause_ms, ALL_FAULTS[rng.usize(..ALL_FAULTS.len())])
@@ -89,18 +89,18 @@
     Fault::Cloud,
 ];
 
-/// Counts of what was done.
+/// The faults that were injected.
 #[derive(Debug, Default)]
 pub struct FaultLog {
-    /// Faults.
+    /// Number of faults.
     pub faults: usize,
-    /// Workers that left in calm, and what they got after their time.
+    /// Workers that left, with the requests that they got too late.
     pub departures: Vec<Departure>,
-    /// What was done, one after another.
+    /// The steps of the schedule, in order.
     pub steps: Vec<Step>,
 }
 
-/// Does faults until a time.
+/// Injects faults until `until` or the end of the schedule.
 pub async fn run(
     cluster: &mut Cluster,
     mut schedule: Schedule,
@@ -124,7 +124,7 @@
     Ok(done)
 }
 
-/// Starts processes anew that have ended, as the platform does; gives their numbers.
+/// Starts ended processes again, as the platform does. Returns their numbers.
 pub(crate) fn restart_ended(cluster: &mut Cluster) -> io::Result<Vec<usize>> {
     cluster.kill_overdue();
     let mut started = Vec::new();
@@ -148,7 +148,7 @@
     match fault {
         Fault::Kill => cluster.signal(gateway, Signal::Kill),
         Fault::Stop => cluster.signal(gateway, Signal::Term),
-        // A process that is paused when it is told to stop hears of it when it goes on.
+        // A paused process handles the signal to stop when it resumes.
         Fault::Pause if rng.bool() => cluster.signal(gateway, Signal::Pause),
         Fault::Pause => cluster.signal(gateway, Signal::Resume),
         Fault::Hangup => cluster.signal(gateway, Signal::Hangup),
@@ -224,7 +224,7 @@
     }
 }
 
-/// Ends all faults.
+/// Ends all faults and restarts ended processes.
 pub async fn clear_faults(cluster: &mut Cluster) -> io::Result<()> {
     cluster.set_store(Mode::Serve);
     cluster.cloud.set_mode(CloudMode::Serve);
@@ -240,9 +240,9 @@
     Ok(())
 }
 
-/// Waits until all gateways serve, at most for a time; says whether they do. As on
-/// the platform, a process that ends meanwhile is started anew: one that was told
-/// to stop just before the calm ends seconds after it.
+/// Waits up to `bound` until all gateways serve. Returns whether they do. As on the platform, a
+/// process that ends meanwhile is started again: one that was told to stop just before the faults
+/// ended exits seconds later.
 pub async fn recover(cluster: &mut Cluster, bound: Duration) -> io::Result<bool> {
     let until = Instant::now() + bound;
     while Instant::now() < until {
@@ -254,7 +254,7 @@
     Ok(false)
 }
 
-/// Lets a worker leave in calm, and counts what it gets after its time.
+/// Lets a worker leave while there are no faults, and counts the requests that it gets too late.
 async fn drain_worker(cluster: &mut Cluster, n: usize, done: &mut FaultLog) -> io::Result<()> {
     if cluster.upstreams.len() <= 2 {
         return Ok(());
--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -1,4 +1,4 @@
-//! Tenants' keys in a soak, and the promises about them and about usage.
+//! Tenants' API keys in a soak, and the guarantees about keys and usage reports.
 
 use crate::checker::{ClientRequest, WorkerRun};
 use crate::disruption::{Disruption, Timeline};
@@ -6,36 +6,36 @@
 use standin::{CloudCall, fixture};
 use std::time::{Duration, Instant};
 
-/// Tenants whose second key is taken away and given back.
+/// Number of tenants with a revocable key.
 pub const TENANTS: usize = 4;
-/// The tenant of the requests after the last fault, whose usage must be right.
+/// Tenant of the requests after the last fault, whose usage must be reported correctly.
 pub const LAST_TENANT: &str = "last";
-/// Length of a window of usage.
+/// Length of a usage window.
 pub const WINDOW: Duration = Duration::from_secs(1);
-/// Shortest time between two holders' reports.
+/// Shortest time between reports of two lease holders.
 pub const HOLDER_GAP: Duration = Duration::from_millis(500);
-/// Time after which a key that was taken away must run nothing: the bound of the settings,
-/// and room for a busy machine.
+/// Time after which requests with a revoked key must not run: the bound of the settings, and
+/// a margin for a busy machine.
 const REVOCATION_BOUND: Duration = Duration::from_millis(2500);
-/// Time without disturbance before a request for which the bound holds: the bound, and the
-/// time in which a process may still be out of touch.
+/// Time without disruptions that a gateway needs before a request for the bound to apply: the
+/// bound, and the time in which the process may still be disconnected.
 const CONNECTED_TIME: Duration = Duration::from_secs(7);
-/// Part by which usage may be off.
+/// Largest relative error of the reported usage.
 const USAGE_TOLERANCE: f64 = 0.05;
 
-/// The key that a request bears.
+/// The API key of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Key {
-    /// A tenant's own, always in force.
+    /// A tenant's key that is always valid.
     Permanent(usize),
-    /// A tenant's second one, which comes and goes.
+    /// A tenant's key that is revoked and restored.
     Revocable(usize),
-    /// That of the requests after the last fault.
+    /// The key of [`LAST_TENANT`].
     Last,
 }
 
 impl Key {
-    /// Draws one of a client's tenant.
+    /// Draws a key of a client's tenant.
     pub fn draw(client: u32, is_last: bool, rng: &mut fastrand::Rng) -> Self {
         let tenant = client as usize % TENANTS;
         match (is_last, rng.u32(..4)) {
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The header line of a request.
+    /// Returns the header line with the key.
     pub fn header(self) -> String {
         format!("key: {}\r\n", self.text())
     }
 
-    /// The key itself.
+    /// Returns the key itself.
     pub fn text(self) -> String {
         match self {
             Self::Permanent(tenant) => format!("own-key-{tenant}"),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Name of the tenant that holds it.
+    /// Returns the name of the tenant that owns the key.
     pub fn tenant(self) -> String {
         match self {
             Self::Permanent(tenant) | Self::Revocable(tenant) => tenant_name(tenant),
@@ -72,28 +72,28 @@
     format!("tenant-{tenant}")
 }
 
-/// A time in which a second key was out of force.
+/// A period in which a revocable key was invalid.
 #[derive(Debug, Clone)]
 pub struct Revocation {
-    /// Its tenant.
+    /// Number of the tenant.
     pub tenant: usize,
-    /// Since when.
+    /// When the key was revoked.
     pub from: Instant,
-    /// When it was given back; none if it wasn't.
+    /// When the key was restored, or none if it wasn't.
     pub until: Option<Instant>,
 }
 
-/// The keys in force, and when they weren't.
+/// Revocations of keys, and the store's disruptions that delay them.
 #[derive(Debug, Default)]
 pub struct Keys {
-    /// Times in which second keys were out of force.
+    /// Periods in which revocable keys were invalid.
     pub revocations: Vec<Revocation>,
-    /// Times in which the store didn't serve a gateway, or none of them.
+    /// Periods in which the store didn't serve one gateway, or, without a number, any gateway.
     pub store_disruptions: Vec<Disruption>,
 }
 
 impl Keys {
-    /// Takes a tenant's second key away, or gives it back.
+    /// Revokes a tenant's revocable key, or restores it.
     pub fn toggle(&mut self, tenant: usize, now: Instant) {
         let mut revocations = self.revocations.iter_mut();
         match revocations.find(|r| r.tenant == tenant && r.until.is_none()) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The tenants as a configuration has them.
+    /// Returns the tenants with their valid keys, as the configuration lists them.
     pub fn configured(&self) -> Vec<Value> {
         let is_removed = |tenant| {
             let mut revocations = self.revocations.iter();
@@ -124,12 +124,12 @@
         all
     }
 
-    /// Notes that the store serves a gateway, or all of them, or that it doesn't.
+    /// Records whether the store serves a gateway, or all gateways if `gateway` is none.
     pub fn record_store(&mut self, gateway: Option<usize>, serves: bool, now: Instant) {
         let disruptions = self.store_disruptions.iter_mut();
         let mut open = disruptions.filter(|t| t.gateway == gateway && t.until.is_none());
         match (open.next(), serves) {
-            (Some(trouble), true) => trouble.until = Some(now),
+            (Some(disruption), true) => disruption.until = Some(now),
             (None, false) => self.store_disruptions.push(Disruption {
                 gateway,
                 from: now,
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Whether a request was sent with a key that had been out of force for longer than the
-    /// bound, to a gateway in touch: by the store, or by peers that are.
+    /// Returns whether a request was sent after its key had been revoked for longer than the
+    /// bound, to a gateway that must know: one connected to the store, or to peers that are.
     fn ran_after_revocation(&self, request: &ClientRequest, timeline: &Timeline) -> bool {
         let (Key::Revocable(tenant), Some(sent)) = (request.key, request.delivery.sent) else {
             return false;
@@ -164,12 +164,13 @@
         if store.iter().any(|t| t.gateway.is_none()) || processes.iter().any(|t| is_own(&t)) {
             return false;
         }
-        // Cut off from the store alone, it hears from its peers, if these are well.
+        // A gateway that only lost the store learns of the revocation from its peers, if these have
+        // no disruption.
         let others_are_connected = processes.is_empty() && store.iter().all(|t| is_own(&t));
         others_are_connected || !store.iter().any(|t| is_own(&t))
     }
 
-    /// Whether a request's key was taken away while it was under way, or just before.
+    /// Returns whether a request's key was revoked while the request ran or shortly before.
     pub fn is_revoked_during(&self, request: &ClientRequest) -> bool {
         let (Key::Revocable(tenant), Some(sent)) = (request.key, request.delivery.sent) else {
             return false;
@@ -181,18 +182,18 @@
     }
 }
 
-/// Counts of broken promises about keys.
+/// Numbers of violated guarantees about keys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KeyViolations {
-    /// Runs under another tenant than the key's, or that were shown the key.
+    /// Runs whose worker got another tenant than the key's, or got the key itself.
     pub told_wrongly: usize,
-    /// Requests that ran though their key had been out of force for longer than the bound.
+    /// Requests that ran though their key had been revoked for longer than the bound.
     pub ran_without_key: usize,
-    /// Requests with a key that was always in force and that were refused as if it weren't.
+    /// Requests that were refused as unauthorized though their key was always valid.
     pub denied: usize,
 }
 
-/// Judges requests with their runs, these in the order of their requests' ids.
+/// Checks requests against their runs. `runs` must be sorted by request id.
 pub fn check_keys(
     requests: &[ClientRequest],
     runs: &[&WorkerRun],
@@ -206,7 +207,7 @@
         let is_wrong = |r: &&&WorkerRun| r.shows_key || r.tenant.as_deref() != Some(&tenant);
         out.told_wrongly += own_runs.iter().filter(is_wrong).count();
         if !own_runs.is_empty() && keys.ran_after_revocation(request, timeline) {
-            println!("ran without its key: {request:?}");
+            println!("ran with a revoked key: {request:?}");
             out.ran_without_key += 1;
         }
         let is_denied = matches!(request.end, crate::checker::RequestEnd::Whole(401, _));
@@ -215,19 +216,20 @@
     out
 }
 
-/// Counts of broken promises about reports of usage.
+/// Numbers of violated guarantees about usage reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UsageViolations {
-    /// Windows with two reports that differ.
+    /// Additional reports of a window that differ from the first.
     pub reported_twice: usize,
-    /// Reports under a token that is lower than one before, or that two holders used.
+    /// Reports whose fencing token is lower than the one before, or whose holder changed without
+    /// a new token or within [`HOLDER_GAP`].
     pub badly_fenced: usize,
-    /// Whether the usage after the last fault is off.
+    /// 1 if the usage reported for the last phase is wrong, else 0.
     pub usage_off: usize,
 }
 
-/// Judges the reports that reached the platform; `last` is how many requests of the last
-/// tenant ran.
+/// Checks the reports that reached the platform. `last` is the number of requests of
+/// [`LAST_TENANT`] that ran.
 pub fn check_usage(calls: &[CloudCall], last: usize) -> UsageViolations {
     let mut out = UsageViolations::default();
     let mut bodies: Vec<(u64, &str)> = calls
@@ -254,7 +256,7 @@
     out
 }
 
-/// Requests of the last tenant that were reported, each window once.
+/// Returns the reported number of requests of [`LAST_TENANT`], counting each window once.
 pub fn reported_requests(calls: &[CloudCall]) -> u64 {
     let mut windows: Vec<(u64, u64)> = calls
         .iter()
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,6 @@
-//! A fault soak: gateways as real processes before stand-ins, faults from outside
-//! them, and promises checked from what clients and workers see.
+//! A soak test: gateways run as real processes with a simulated platform and simulated
+//! workers, faults are injected from outside, and the guarantees are checked against what
+//! clients and workers observed.
 
 pub mod checker;
 pub mod client;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs a soak. The last line is one JSON object with a count for each promise;
-//! the exit code isn't 0 if one was broken.
+//! Runs a soak test. The last line of output is a JSON object with a count of violations for
+//! each guarantee. The exit code isn't 0 if any was violated.
 
 use argh::FromArgs;
 use bench::procs::build_binary;
@@ -20,44 +20,46 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Longest time after the last fault until all gateways serve.
+/// Time within which all gateways must serve after the last fault.
 const RECOVERY_BOUND: Duration = Duration::from_secs(12);
-/// Time with requests after the last fault, whose usage must be right.
+/// Length of the last phase, which has no faults. The usage of its requests must be reported
+/// correctly.
 const LAST_PHASE_TIME: Duration = Duration::from_secs(3);
-/// Longest wait for its reports: their due time.
+/// Longest wait for the reports about the last phase: the time within which they are due.
 const REPORT_BOUND: Duration = Duration::from_secs(13);
-/// Longest wait for requests that are under way at the end.
+/// Longest wait for requests in progress at the end.
 const LAST_REQUESTS_BOUND: Duration = Duration::from_secs(7);
 
-/// Random faults over gateways that run as processes, by a seed.
+/// Runs gateway processes under random faults that a seed determines.
 #[derive(Debug, FromArgs)]
 struct Args {
-    /// seed of the faults and of the load
+    /// seed of the faults and the load
     #[argh(option, default = "1")]
     seed: u64,
-    /// time with faults, in seconds
+    /// duration of the faults, in seconds
     #[argh(option, default = "20")]
     seconds: u64,
-    /// clients
+    /// number of clients with quick requests
     #[argh(option, default = "12")]
     clients: u32,
-    /// clients beside them whose answers take up to seconds
+    /// number of clients with slow requests
     #[argh(option, default = "12")]
     slow: u32,
-    /// longest time that the answers of these clients take, in milliseconds; with a second try
-    /// after the gateway's patience the default is within the deadline
+    /// longest duration of a slow request, in milliseconds; with the default, a second attempt
+    /// after the gateway's timeout still ends within the deadline
     #[argh(option, default = "2500")]
     longest_ms: u64,
-    /// one in so many of them takes up to that, the others a moment
+    /// one in so many slow requests takes up to that; the others take a moment
     #[argh(option, default = "1")]
     one_in: u64,
-    /// planned stops in series that overlap, in place of faults of all kinds
+    /// make only series of overlapping planned stops, instead of faults of all kinds
     #[argh(switch)]
     stops: bool,
-    /// file with the faults, as a run writes it beside its logs, in place of those of the seed
+    /// file with the faults to replay, as each run writes it beside its logs, instead of random
+    /// faults
     #[argh(option)]
     schedule: Option<PathBuf>,
-    /// third byte of the addresses, so that several soaks can run side by side
+    /// third byte of the addresses, so that several soaks can run concurrently
     #[argh(option, default = "1")]
     net: u8,
 }
@@ -73,7 +75,8 @@
     deadly: usize,
     leaves: usize,
     stops: usize,
-    /// Requests that a planned stop alone had, and that came after its signal.
+    /// Requests that were sent to a stopping process after its signal and met no other
+    /// disruption.
     in_stops: usize,
     #[serde(flatten)]
     verdict: Verdict,
@@ -98,7 +101,7 @@
     let mut cluster = Cluster::start(args.net, &binary, &dir).await?;
     cluster.all_serve(RECOVERY_BOUND).await;
     let history = History::default();
-    let stop = watch::Sender::new(Phase::Faults);
+    let phase = watch::Sender::new(Phase::Faults);
     let addresses: Vec<_> = cluster.gateways.iter().map(|g| g.client_addr).collect();
     let slow = Slow {
         longest_ms: args.longest_ms,
@@ -117,7 +120,7 @@
                 pace,
                 gateways,
                 history,
-                stop.subscribe(),
+                phase.subscribe(),
                 seed,
             ))
         })
@@ -136,17 +139,17 @@
     schedule::write(&dir.join("schedule.jsonl"), &done.steps)?;
     fault::clear_faults(&mut cluster).await?;
     let recovered = fault::recover(&mut cluster, RECOVERY_BOUND).await?;
-    stop.send_replace(Phase::Last);
+    phase.send_replace(Phase::Last);
     tokio::time::sleep(LAST_PHASE_TIME).await;
-    stop.send_replace(Phase::Over);
+    phase.send_replace(Phase::Over);
     for client in clients {
-        // A client that hangs is ended with the runtime; its last request is open.
+        // A client that hangs is dropped with the runtime, without its last request.
         let _ = tokio::time::timeout(LAST_REQUESTS_BOUND, client).await;
     }
     let sent_again = crashing::sent_again(&cluster).await;
     let requests = history.lock().expect("no panic while locked").clone();
     for request in requests.iter().filter(|a| has_foreign_body(a)) {
-        println!("not its own body: {request:?}");
+        println!("answer with another request's body: {request:?}");
     }
     let all = cluster.upstreams.iter().chain(&cluster.engines);
     let runs = worker_runs(all.chain(&cluster.removed_upstreams));
@@ -159,10 +162,10 @@
     );
     let last = count_last_tenant(&runs);
     wait_for_reports(&cluster, last).await;
-    let of_usage = check_usage(&cluster.cloud.calls(), last);
-    verdict.reported_twice = of_usage.reported_twice;
-    verdict.badly_fenced = of_usage.badly_fenced;
-    verdict.usage_off = of_usage.usage_off;
+    let usage_violations = check_usage(&cluster.cloud.calls(), last);
+    verdict.reported_twice = usage_violations.reported_twice;
+    verdict.badly_fenced = usage_violations.badly_fenced;
+    verdict.usage_off = usage_violations.usage_off;
     verdict.keys_logged = keys_logged(&dir)?;
     verdict.sent_again = sent_again;
     verdict.not_recovered = usize::from(!recovered);
@@ -182,7 +185,7 @@
     })
 }
 
-/// Requests of the last tenant that ran, each once.
+/// Counts the distinct requests of [`LAST_TENANT`] that ran.
 fn count_last_tenant(runs: &[WorkerRun]) -> usize {
     let last = runs
         .iter()
@@ -193,7 +196,7 @@
     ids.len()
 }
 
-/// Waits until so many requests of the last tenant are reported, at most for a time.
+/// Waits until `last` requests of [`LAST_TENANT`] are reported, for up to [`REPORT_BOUND`].
 async fn wait_for_reports(cluster: &Cluster, last: usize) {
     let until = Instant::now() + REPORT_BOUND;
     while Instant::now() < until && reported_requests(&cluster.cloud.calls()) < last as u64 {
@@ -201,7 +204,7 @@
     }
 }
 
-/// Logs of processes in a folder in which some key stands.
+/// Counts the process logs in a directory that contain an API key.
 fn keys_logged(dir: &Path) -> std::io::Result<usize> {
     let keys = (0..TENANTS).flat_map(|n| [Key::Permanent(n), Key::Revocable(n)]);
     let texts: Vec<String> = keys.chain([Key::Last]).map(Key::text).collect();
@@ -216,8 +219,9 @@
     Ok(found)
 }
 
-/// Counts requests that came to a process under a planned stop alone; prints what was
-/// cut, with the times since the signal at which it was sent and ended.
+/// Counts the requests that were sent to a stopping process after its signal and met no other
+/// disruption. Prints those that were cut, with the times from the signal to their start and
+/// end.
 fn in_stops(requests: &[ClientRequest], runs: &[WorkerRun], timeline: &Timeline) -> usize {
     let runs = sort_by_id(runs);
     let mut count = 0;
@@ -234,14 +238,16 @@
             let sent = sent.saturating_duration_since(stop.signal);
             let ended = request.delivery.ended.duration_since(stop.signal);
             let (id, end, to) = (&request.id, &request.end, stop.gateway);
-            println!("cut by a stop of {to}: {id}, sent {sent:?}, ended {ended:?}: {end:?}");
+            println!(
+                "cut by a stop of gateway {to}: {id}, sent {sent:?}, ended {ended:?}: {end:?}"
+            );
         }
     }
     count
 }
 
-/// What workers saw, but for the soak's own probes, what crashes workers, and what gateways
-/// ask engines.
+/// Returns the requests that workers ran, without the soak's probes, the requests that crash
+/// workers and the gateways' own calls to engines.
 fn worker_runs<'a>(upstreams: impl Iterator<Item = &'a Upstream>) -> Vec<WorkerRun> {
     let seen = upstreams.flat_map(|u| u.worker.seen());
     let is_request = |s: &Seen| !matches!(s.path.as_str(), "/report" | "/order");
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,47 +1,48 @@
-//! The faults of a run as a file that can be played again.
+//! The faults of a run, drawn at random or replayed from a file.
 //!
-//! A seed doesn't last as a case: it draws others as soon as a kind of fault is added. A file
-//! names each fault, and what decides its parameters.
+//! A seed can't be kept as a test case, because it draws other faults as soon as a kind of fault
+//! is added. A file names each fault and the generator state that decides its parameters.
 
 use crate::fault::Fault;
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::Path;
 
-/// A fault, and what comes before it.
+/// A fault and the pause before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Pause before it, in milliseconds.
+    /// Pause before the fault, in milliseconds.
     pub pause_ms: u64,
-    /// Its kind.
+    /// Kind of the fault.
     pub fault: Fault,
-    /// From what its parameters are drawn.
+    /// State of the random generator that draws its parameters.
     pub state: u64,
 }
 
-/// Where the faults of a run come from.
+/// Source of the faults of a run.
 #[derive(Debug)]
 pub enum Schedule {
-    /// Chance.
+    /// Faults drawn at random.
     Random(fastrand::Rng),
-    /// A file, the next one first.
+    /// The remaining faults of a file.
     File(std::vec::IntoIter<Step>),
 }
 
 impl Schedule {
-    /// One that a seed draws.
+    /// Creates a schedule of random faults.
     pub fn from_seed(seed: u64) -> Self {
         Self::Random(fastrand::Rng::with_seed(seed))
     }
 
-    /// Reads one from a file, a step a line.
+    /// Reads a schedule from a file with one step in JSON per line. Fails if the file or a line
+    /// can't be read.
     pub fn read(path: &Path) -> io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         let steps: Result<Vec<Step>, _> = text.lines().map(serde_json::from_str).collect();
         Ok(Self::File(steps?.into_iter()))
     }
 
-    /// The next step, with what its parameters are drawn from; none if a file has no more.
+    /// Returns the next step and the generator for its parameters, or none at the end of a file.
     pub fn next_step(&mut self) -> Option<(Step, fastrand::Rng)> {
         match self {
             Self::Random(rng) => {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes what was drawn for a step, so that the next follows from it.
+    /// Continues the random schedule with the generator that drew the parameters of a step.
     pub fn advance(&mut self, after: fastrand::Rng) {
         if let Self::Random(rng) = self {
             *rng = after;
@@ -71,7 +72,7 @@
     }
 }
 
-/// Writes steps to a file that [`Schedule::read`] reads.
+/// Writes steps to a file for [`Schedule::read`].
 pub fn write(path: &Path, steps: &[Step]) -> io::Result<()> {
     let lines: Result<Vec<String>, _> = steps.iter().map(serde_json::to_string).collect();
     std::fs::write(path, lines?.join("\n") + "\n")
--- a/crates/soak/src/stops.rs
+++ b/crates/soak/src/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops in series that overlap, with changes beside them that excuse nothing.
+//! Series of overlapping planned stops, with other changes that must not cut any answer.
 
 use crate::cluster::Cluster;
 use crate::fault::{FaultLog, clear_faults, random_store_mode, restart_ended};
@@ -7,22 +7,22 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at what is due.
+/// Interval between checks for signals that are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest time between the stops of two processes of a series: three are told long
+/// Longest time between the stops of two processes of a series. All three get their signals long
 /// before the first of them has ended.
 const MAX_STOP_GAP_MS: u64 = 2500;
-/// Longest time from a series' last signal to the next series, in which all may have
-/// ended or none.
+/// Longest time from a series' last signal to the next series. By then all of its processes may
+/// have ended, or none.
 const MAX_SERIES_GAP_MS: u64 = 11_000;
-/// Of the looks, one in so many changes something beside the stops.
+/// One in so many checks also makes a change that isn't a stop.
 const SIDE_CHANGE_ONE_IN: u32 = 12;
-/// Of the processes that start, one in so many is told to stop at once.
+/// One in so many starting processes is told to stop soon after its start.
 const STOP_AT_START_ONE_IN: u32 = 6;
-/// Longest time from a start to such a stop.
+/// Longest time from the start of a process to such a stop.
 const MAX_STOP_AFTER_START_MS: u64 = 1500;
 
-/// A signal that is to come.
+/// A signal to send at a later time.
 #[derive(Debug, Clone, Copy)]
 struct ScheduledSignal {
     at: Instant,
@@ -30,7 +30,7 @@
     signal: Signal,
 }
 
-/// Stops processes until a time.
+/// Runs series of planned stops until `until`, then clears all faults.
 pub async fn run(cluster: &mut Cluster, seed: u64, until: Instant) -> io::Result<FaultLog> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut done = FaultLog::default();
@@ -60,7 +60,7 @@
         }
     }
     for signal in due {
-        // What is paused is told to go on by the calm.
+        // Paused processes are resumed by `clear_faults`.
         cluster.signal(signal.gateway, signal.signal);
     }
     clear_faults(cluster).await?;
@@ -81,7 +81,7 @@
     Duration::from_millis(rng.u64(range))
 }
 
-/// The signals of one series: each process is told to stop, in some order.
+/// Draws the signals of one series, which stops all processes in a random order.
 fn series(rng: &mut fastrand::Rng, gateways: usize) -> Vec<ScheduledSignal> {
     let mut order: Vec<usize> = (0..gateways).collect();
     rng.shuffle(&mut order);
@@ -95,7 +95,7 @@
     all
 }
 
-/// The signals by which one process is stopped.
+/// Draws the signals that stop one process.
 fn signals(rng: &mut fastrand::Rng, at: Instant, gateway: usize) -> Vec<ScheduledSignal> {
     let due = |at, signal| ScheduledSignal::new(at, gateway, signal);
     match rng.u32(..8) {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Changes something that must not cut an answer, but for a kill.
+/// Makes a change that must not cut an answer, except for a kill.
 async fn change_aside(cluster: &mut Cluster, rng: &mut fastrand::Rng) -> io::Result<()> {
     let gateway = rng.usize(..cluster.gateways.len());
     let worker = rng.usize(..cluster.upstreams.len());
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -1,4 +1,4 @@
-//! A history with each broken promise is rejected.
+//! Histories with a violation of any guarantee are rejected.
 
 use soak::checker::{
     ClientRequest, Departure, RequestEnd, RequestKind, Verdict, WorkerRun, check_history,
@@ -17,7 +17,7 @@
     }
 }
 
-/// A way that no stop has to do with.
+/// A delivery that no stop affects.
 fn delivery() -> Delivery {
     Delivery {
         gateway: 0,
@@ -196,10 +196,10 @@
     );
 }
 
-/// Seconds after the signal of the stop that the cases below have.
+/// Seconds after the signal of the stop in the cases below.
 type AfterSignal = f64;
 
-/// Long before and after all of a case, in seconds.
+/// Time from the creation of a case to the signal, longer than any case takes, in seconds.
 const FAR: f64 = 30.0;
 
 struct StopCase {
@@ -212,7 +212,7 @@
         since + Duration::from_secs_f64(FAR + s)
     }
 
-    /// A request that a worker ran, under the times of the recorded one.
+    /// A request that was sent and ended at the given times.
     fn cut(&self, end: RequestEnd, sent: AfterSignal, ended: AfterSignal) -> ClientRequest {
         ClientRequest {
             id: "x".into(),
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Counts of what was cut, with a process that is stopped and ends in its grace.
+    /// Counts the request if a stop cut it. The process ends at the end of its grace period.
     fn count_cut(
         &self,
         request: &ClientRequest,
@@ -275,13 +275,17 @@
     };
     let answer = |status| RequestEnd::Whole(status, "{}".into());
     let runs = [run("x")];
-    // As in the incident, at the process's end and before it.
+    // Cut when the process ends, and before that.
     let late = stop.cut(RequestEnd::Broken, 3.985, 7.455);
-    assert_eq!(stop.count_cut(&late, &runs, vec![]), 1, "broken off late");
+    assert_eq!(stop.count_cut(&late, &runs, vec![]), 1, "cut late");
     let early = stop.cut(RequestEnd::Broken, 1.0, 2.4);
-    assert_eq!(stop.count_cut(&early, &runs, vec![]), 1, "broken off early");
+    assert_eq!(stop.count_cut(&early, &runs, vec![]), 1, "cut early");
     let before = stop.cut(RequestEnd::Broken, -0.5, 2.4);
-    assert_eq!(stop.count_cut(&before, &runs, vec![]), 1, "taken before it");
+    assert_eq!(
+        stop.count_cut(&before, &runs, vec![]),
+        1,
+        "accepted before it"
+    );
     for status in [502, 504] {
         let answered = stop.cut(answer(status), 5.5, 7.4);
         assert_eq!(stop.count_cut(&answered, &runs, vec![]), 1, "{status}");
@@ -301,7 +305,7 @@
     let mut begun = silent.clone();
     begun.delivery.answer_started = true;
     assert_eq!(stop.count_cut(&begun, &[], vec![]), 1, "no run was seen");
-    // Faults that have long been over, or aren't this process's.
+    // Disruptions that ended long before, or that affect another process.
     let others = vec![
         stop.disruption(Some(1), -1.0, 8.0),
         stop.disruption(Some(0), -9.0, -5.0),
@@ -324,7 +328,11 @@
         assert_eq!(stop.count_cut(&whole, &[], vec![]), 0, "{status}");
     }
     let early = stop.cut(RequestEnd::Broken, 2.9, 6.7);
-    assert_eq!(stop.count_cut(&early, &runs, vec![]), 0, "can't be ended");
+    assert_eq!(
+        stop.count_cut(&early, &runs, vec![]),
+        0,
+        "can't be finished"
+    );
     let over = stop.cut(answer(504), 1.0, 5.0);
     assert_eq!(stop.count_cut(&over, &runs, vec![]), 0, "its own deadline");
     let ended = stop.cut(RequestEnd::Broken, -2.0, -0.1);
@@ -356,7 +364,7 @@
     }
 }
 
-/// A request with a tenant's second key, sent so many seconds after a time.
+/// A request with a revocable key, sent `after` seconds after `start`.
 fn revocable_request(after: f64, start: Instant) -> ClientRequest {
     let mut request = request("s", RequestKind::Idempotent, 200, "s");
     request.key = Key::Revocable(1);
@@ -394,8 +402,8 @@
     for (sent, expected) in [(9.0, 0), (12.0, 0), (13.0, 1), (29.0, 1), (30.5, 0)] {
         assert_eq!(late(sent, &keys, &undisturbed), expected, "sent at {sent}");
     }
-    // Cut off from the store alone, its peers tell it; with another that is cut off too,
-    // or while the store serves nobody, it may not know.
+    // A gateway that lost only the store learns of the revocation from its peers. It may not learn
+    // of it if another gateway lost the store too, or if the store serves no gateway.
     keys.record_store(Some(0), false, at(9.0));
     assert_eq!(late(20.0, &keys, &undisturbed), 1);
     keys.record_store(Some(1), false, at(15.0));
@@ -439,7 +447,7 @@
     }
 }
 
-/// One instant, the same at each call.
+/// Returns the same instant at each call.
 fn fixed_instant() -> Instant {
     static AT: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     *AT.get_or_init(Instant::now)
--- a/crates/soak/tests/recover.rs
+++ b/crates/soak/tests/recover.rs
@@ -1,16 +1,15 @@
-//! What the soak itself must do: processes that end are started anew, as on the platform.
+//! The soak itself must restart processes that end, as the platform does.
 
 use bench::procs::{Signal, build_binary};
 use soak::cluster::Cluster;
 use soak::fault::recover;
 use std::time::Duration;
 
-/// Far longer than a process takes to stop or to start.
+/// Far longer than a process takes to stop or start.
 const BOUND: Duration = Duration::from_secs(30);
 
-/// Seed 74 once told a process to stop just before the faults ended. It ended in
-/// order two seconds later, nobody started it anew, and the soak took that for a
-/// process that doesn't recover.
+/// Guards against a process that is told to stop just before the faults end. It exits normally
+/// two seconds later. The soak didn't restart it and counted it as not recovered (seed 74).
 #[tokio::test]
 async fn a_process_that_ends_after_the_faults_is_restarted() {
     let net = (std::process::id() % 100 + 20) as u8;
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a run, kept in a file.
+//! Schedules of faults that are written to a file and replayed.
 
 use soak::fault::Fault;
 use soak::schedule::{Schedule, Step, write};
@@ -8,14 +8,14 @@
     std::env::temp_dir().join(format!("soak-schedule-{}-{name}", std::process::id()))
 }
 
-/// Steps as a run takes them, with some numbers drawn for each; gives these too.
+/// Takes steps as a run does and draws some numbers for each. Returns the steps and the numbers.
 fn play(mut schedule: Schedule, max_steps: usize) -> (Vec<Step>, Vec<u64>) {
     let (mut steps, mut drawn) = (Vec::new(), Vec::new());
     while steps.len() < max_steps {
         let Some((step, mut rng)) = schedule.next_step() else {
             break;
         };
-        // Each kind draws as many as it needs.
+        // Each kind of fault draws its own count of numbers.
         for _ in 0..steps.len() % 4 {
             drawn.push(rng.u64(..));
         }
@@ -38,7 +38,7 @@
     assert!(kinds.iter().all(|k| steps.iter().any(|s| s.fault == *k)));
 }
 
-/// What a file names stays, whatever kinds are added; one that can't be read is refused.
+/// A file keeps its meaning when kinds of faults are added. Unknown kinds are rejected.
 #[test]
 fn a_file_names_each_fault() {
     let path = file("names");
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,15 +1,15 @@
-//! Short runs with fixed seeds, as CI does them.
+//! Short soaks with fixed faults, which CI runs.
 
 use std::process::Command;
 
-/// Third bytes of the addresses: each test's own.
+/// Third bytes of the addresses, one for each test.
 const FIRST_NET: u32 = 120;
 const SECOND_NET: u32 = 20;
 const THIRD_NET: u32 = 220;
-/// Faults among which a common request was once refused for good.
+/// Faults under which a common request was once blocked permanently.
 const COMMON_REQUEST: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/cases/common-request.jsonl");
 
-/// Runs a soak on addresses from a first one on; all promises must be kept. Gives the
+/// Runs a soak whose network starts from `first_net`. There must be no violation. Returns the
 /// summary.
 fn soak(first_net: u32, args: &[&str]) -> serde_json::Value {
     let net = ((std::process::id() % 100 + first_net) % 250).to_string();
@@ -31,19 +31,20 @@
     soak(FIRST_NET, &["--seed", "5", "--seconds", "6"]);
 }
 
-/// All processes are told to stop within seconds, and clients whose answers take up to
-/// 2.5 s go to those that still take connections. Seed 109 once cut 7 answers, each sent
-/// 5.2 s and more after its process's signal: nothing compared the time that an answer
-/// takes with the time that the process had left.
+/// Guards against a stopping process that accepts requests it can't finish. All processes are
+/// told to stop within seconds, and clients whose answers take up to 2.5 s use those that still
+/// accept connections. The duration of an answer wasn't compared with the time left to the
+/// process, so 7 answers, each sent 5.2 s or more after the signal, were cut (seed 109).
 #[test]
 fn series_of_planned_stops_cut_no_answer() {
     let summary = soak(SECOND_NET, &["--stops", "--seed", "109", "--seconds", "10"]);
     assert!(summary["in_stops"].as_u64().unwrap() > 100, "{summary}");
 }
 
-/// Four requests that crash workers come at once, beside cut links, a store that is lost and
-/// processes that start anew. One of eight such runs refused a request that every client sends, and
-/// that crashes nothing, for good: an end that no trial saw proved it guilty.
+/// Guards against blocking a harmless request. Four requests that crash workers are sent at once,
+/// while links are cut, the store is lost and processes restart. In one of eight such runs a
+/// request that every client sends was blocked permanently, because a crash that no trial had
+/// observed counted as proof against it.
 #[test]
 fn a_common_request_is_refused_for_good_by_nobody() {
     let args = ["--schedule", COMMON_REQUEST, "--seconds", "40"];
