--- a/crates/arbutusquay/src/commands/apply.rs
+++ b/crates/arbutusquay/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts a document in force, conditional on the version that was read.
+//! `apply`: puts a document in force if its version is still the one that was read.
 
 use super::{platform, print_faults, read};
 use crate::args::ApplyArgs;
@@ -8,12 +8,12 @@
 use store::rows::{doc_key, head_key};
 use store::{HttpPlatform, Row, Table, Txn, WriteError};
 
-/// Beginning of the line with the version that was read.
-pub const VERSION_LINE: &str = "# version: ";
-/// Looks at the row after a write whose outcome is unknown.
-const LOOKS: u32 = 5;
-/// Time between these looks.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(500);
+/// Start of the line with the version that was read.
+pub const VERSION_PREFIX: &str = "# version: ";
+/// How often the row is read back after a write with an unknown outcome.
+const READ_BACK_ATTEMPTS: u32 = 5;
+/// Pause before each of these reads.
+const READ_BACK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// Applies a document.
 pub async fn run(args: &ApplyArgs) -> Exit {
@@ -24,15 +24,16 @@
 
 async fn apply(args: &ApplyArgs) -> Result<Exit, Exit> {
     let file = read(&args.file)?;
-    let (stated, text) = split_version(&file);
+    let (file_version, text) = split_version(&file);
     let doc = Doc::parse(&text).map_err(|faults| {
         print_faults(&args.file, &faults);
         Exit::Usage
     })?;
-    let Some(over) = args.over.or(stated) else {
+    let Some(over) = args.over.or(file_version) else {
         eprintln!(
-            "say which version this document is over: the line `{VERSION_LINE}N` that `show` \
-             writes, or --over N (0 for a service's first document)"
+            "the version that this document replaces is missing: keep the line \
+             `{VERSION_PREFIX}N` that `show` writes, or give --over N (0 for a service's first \
+             document)"
         );
         return Err(Exit::Usage);
     };
@@ -43,43 +44,45 @@
         .put(&key, text.clone())
         .put(head_key(&doc.service), String::new());
     match table.commit(&txn).await {
-        Ok(version) => Ok(done(&doc.service, version)),
+        Ok(version) => Ok(report_committed(&doc.service, version)),
         Err(WriteError::Refused(conflicts)) => {
             let row = conflicts.into_iter().next().and_then(|c| c.row);
-            Ok(conflict(&doc.service, over, row.as_ref(), &text))
+            Ok(report_conflict(&doc.service, over, row.as_ref(), &text))
         }
         Err(WriteError::Unavailable(why)) => {
             eprintln!("platform unavailable, nothing was written: {why}");
             Ok(Exit::Unreachable)
         }
-        Err(WriteError::Unknown(why)) => Ok(settle(&table, &doc.service, &txn, over, &why).await),
+        Err(WriteError::Unknown(why)) => {
+            Ok(resolve_unknown(&table, &doc.service, &txn, over, &why).await)
+        }
     }
 }
 
-/// Takes the version's line, which isn't part of the document, off a file. The
-/// line is left blank, so that the places of faults stay right.
+/// Splits a file into the version from its version line and the document. The line is left blank
+/// in the document, so that the positions of faults stay correct.
 fn split_version(file: &str) -> (Option<u64>, String) {
-    let Some(line) = file.lines().find(|l| l.starts_with(VERSION_LINE)) else {
+    let Some(line) = file.lines().find(|l| l.starts_with(VERSION_PREFIX)) else {
         return (None, file.to_owned());
     };
-    let version = line[VERSION_LINE.len()..].trim().parse().ok();
+    let version = line[VERSION_PREFIX.len()..].trim().parse().ok();
     let text = file.replacen(line, "", 1);
     (version, text)
 }
 
-fn done(service: &str, version: u64) -> Exit {
+fn report_committed(service: &str, version: u64) -> Exit {
     println!("{service}: version {version} is committed");
     Exit::Done
 }
 
-fn conflict(service: &str, over: u64, row: Option<&Row>, text: &str) -> Exit {
+fn report_conflict(service: &str, over: u64, row: Option<&Row>, text: &str) -> Exit {
     let Some(row) = row else {
-        eprintln!("{service}: there is no document, so it can't be over version {over}; use 0");
+        eprintln!("{service}: there is no document, so it can't replace version {over}; use 0");
         return Exit::Refused;
     };
     eprintln!(
-        "{service}: version {} is there now, and this document was made over {over}; nothing \
-         was changed. The difference:",
+        "{service}: the current version is {}, but this document is based on version {over}; \
+         nothing was changed. The difference:",
         row.version
     );
     let diff = TextDiff::from_lines(row.value.as_str(), text);
@@ -88,30 +91,36 @@
     Exit::Refused
 }
 
-/// Settles a write whose outcome is unknown by reading the row back.
-async fn settle(table: &HttpPlatform, service: &str, txn: &Txn, over: u64, why: &str) -> Exit {
-    for _ in 0..LOOKS {
-        tokio::time::sleep(PAUSE).await;
+/// Reads the row back to find out whether a write with an unknown outcome took effect.
+async fn resolve_unknown(
+    table: &HttpPlatform,
+    service: &str,
+    txn: &Txn,
+    over: u64,
+    why: &str,
+) -> Exit {
+    for _ in 0..READ_BACK_ATTEMPTS {
+        tokio::time::sleep(READ_BACK_INTERVAL).await;
         let Ok(rows) = table.read(vec![doc_key(service)]).await else {
             continue;
         };
         match rows.first() {
-            Some(row) if row.token == txn.token => return done(service, row.version),
-            // Another version over the same one: ours can never come now.
+            Some(row) if row.token == txn.token => return report_committed(service, row.version),
+            // Another version replaced the same one, so this write can no longer take effect.
             Some(row) if row.version != over => {
                 let text = txn
                     .puts
                     .first()
                     .and_then(|p| p.value.as_deref())
                     .unwrap_or("");
-                return conflict(service, over, Some(row), text);
+                return report_conflict(service, over, Some(row), text);
             }
             _ => {}
         }
     }
     eprintln!(
-        "{service}: outcome unknown ({why}); the write may yet take effect. `show {service}` \
-         tells; applying the same file again is safe"
+        "{service}: outcome unknown ({why}); the write may still take effect. Run `show {service}` \
+         to check; applying the same file again is safe"
     );
     Exit::Unreachable
 }
--- a/crates/arbutusquay/src/commands/explain.rs
+++ b/crates/arbutusquay/src/commands/explain.rs
@@ -1,7 +1,7 @@
-//! `explain`: a request's way through the logs of several processes.
+//! `explain`: prints the log lines of several processes about a request or a usage window.
 //!
-//! Prints, in order of time, each line about the request, and what the processes
-//! that handled it learned meanwhile of its upstreams and of their dependencies.
+//! The lines are in order of time. For a request, they include what the processes that handled it
+//! logged meanwhile about its upstreams and their dependencies.
 
 use crate::args::ExplainArgs;
 use crate::exit::Exit;
@@ -10,21 +10,21 @@
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 
-/// How long before a request's first line other lines may explain it, in
-/// milliseconds: a lost dependency is told of within a second, and bounds on what
-/// a process believes are a few seconds.
-const BEFORE_MS: u64 = 5000;
-/// How long after its last line the line may stand that its upstream has started again,
-/// in milliseconds: the upstream's connections end first, then it starts, writes its row,
-/// and that is read.
-const RESTART_WITHIN_MS: u64 = 5000;
-/// How long before a request's first line lines about the same work may stand, in
-/// milliseconds: as long as hosts remember what ends upstreams.
-const WORK_BEFORE_MS: u64 = 3_600_000;
-/// Fields that stand at the beginning of a line or are the same on all.
+/// How long before a request's first line other lines are included, in milliseconds. A lost
+/// dependency is logged within a second, and processes act on state that is up to a few seconds
+/// old.
+const CONTEXT_BEFORE_MS: u64 = 5000;
+/// How long after a request's last line a restart of its upstream is included, in milliseconds.
+/// The upstream's connections break first. Then it starts and writes its row, and the row is
+/// read.
+const RESTART_AFTER_MS: u64 = 5000;
+/// How long before a request's last line other lines about the same work are included, in
+/// milliseconds: as long as hosts remember crashes of upstreams.
+const WORK_HISTORY_MS: u64 = 3_600_000;
+/// Fields that are printed at the start of a line or are the same in all lines.
 const LEADING: [&str; 5] = ["ts_ms", "level", "process", "event", "request"];
 
-/// A line of a log.
+/// A parsed log line.
 #[derive(Debug)]
 struct Line {
     at_ms: u64,
@@ -33,11 +33,11 @@
     fields: Map<String, Value>,
 }
 
-/// How long after its last line a configuration may come into force that explains it, in
-/// milliseconds: a key that was taken away is refused from then on.
-const CONFIG_WITHIN_MS: u64 = 10_000;
-/// Begins an id that is the number of a window of usage.
-const WINDOW: &str = "window:";
+/// How long after a request's last line a change of the configuration is included, in
+/// milliseconds. A removed key is refused from that change on.
+const CONFIG_AFTER_MS: u64 = 10_000;
+/// Prefix of an id that is the number of a usage window.
+const WINDOW_PREFIX: &str = "window:";
 
 /// Runs the command.
 pub fn run(args: &ExplainArgs) -> Exit {
@@ -49,67 +49,73 @@
         }
     }
     lines.sort_by_key(|l| l.at_ms);
-    if let Some(window) = args.id.strip_prefix(WINDOW) {
+    if let Some(window) = args.id.strip_prefix(WINDOW_PREFIX) {
         return run_window(window, &lines);
     }
-    let own: Vec<&Line> = lines.iter().filter(|l| l.is_about(&args.id)).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+    let own_lines: Vec<&Line> = lines.iter().filter(|l| l.is_of_request(&args.id)).collect();
+    let (Some(first), Some(last)) = (own_lines.first(), own_lines.last()) else {
         eprintln!("no line about request {}", args.id);
         return Exit::Refused;
     };
-    let from = first.at_ms.saturating_sub(BEFORE_MS);
+    let from = first.at_ms.saturating_sub(CONTEXT_BEFORE_MS);
     let until = last.at_ms;
-    let shown = lines.iter().filter(|l| {
+    let printed = lines.iter().filter(|l| {
         let until = match l.event.as_str() {
-            "upstream_restarted" => until.saturating_add(RESTART_WITHIN_MS),
-            "config_in_force" => until.saturating_add(CONFIG_WITHIN_MS),
+            "upstream_restarted" => until.saturating_add(RESTART_AFTER_MS),
+            "config_in_force" => until.saturating_add(CONFIG_AFTER_MS),
             _ => until,
         };
         let is_near = (from..=until).contains(&l.at_ms);
-        l.is_about(&args.id) || (is_near && explains(l, &own)) || tells_of_work(l, &own)
+        l.is_of_request(&args.id)
+            || (is_near && is_context(l, &own_lines))
+            || is_about_same_work(l, &own_lines)
     });
-    for line in shown {
+    for line in printed {
         println!("{}", line.text(first.at_ms));
     }
     Exit::Done
 }
 
-/// Prints what became of a window of usage: its lines and, meanwhile, who held the duty and
-/// what that depends on. One that has no line lies between those before and after it.
+/// Prints the lines about a usage window, with the lines about the reporting duty and its
+/// dependencies during that time. For a window without lines, that is the time between the lines
+/// about earlier and later windows.
 fn run_window(text: &str, lines: &[Line]) -> Exit {
     let Ok(window) = text.parse::<u64>() else {
-        eprintln!("{text}: not the number of a window");
+        eprintln!("{text}: not a window number");
         return Exit::Usage;
     };
-    let told: Vec<(u64, u64)> = lines
+    let window_lines: Vec<(u64, u64)> = lines
         .iter()
         .filter_map(|l| Some((l.fields.get("window")?.as_u64()?, l.at_ms)))
         .collect();
-    let at = |is_near: &dyn Fn(u64) -> bool| {
-        let near = told.iter().filter(|(w, _)| is_near(*w));
+    let times = |is_near: &dyn Fn(u64) -> bool| {
+        let near = window_lines.iter().filter(|(w, _)| is_near(*w));
         near.map(|(_, at)| *at).collect::<Vec<_>>()
     };
-    let own = at(&|w| w == window);
-    let before = at(&|w| w < window).into_iter().max();
-    let after = at(&|w| w > window).into_iter().min();
-    let from = own.iter().min().map(|at| at.saturating_sub(BEFORE_MS));
-    let until = own.iter().max().copied();
+    let own_times = times(&|w| w == window);
+    let before = times(&|w| w < window).into_iter().max();
+    let after = times(&|w| w > window).into_iter().min();
+    let from = own_times
+        .iter()
+        .min()
+        .map(|at| at.saturating_sub(CONTEXT_BEFORE_MS));
+    let until = own_times.iter().max().copied();
     let (Some(from), Some(until)) = (from.or(before), until.or(after)) else {
         eprintln!("no line about window {window}");
         return Exit::Refused;
     };
-    let shown = lines
+    let printed = lines
         .iter()
         .filter(|l| (from..=until).contains(&l.at_ms))
-        .filter(|l| l.is_of_window(window) || tells_of_usage(l));
-    for line in shown {
+        .filter(|l| l.is_of_window(window) || is_about_usage(l));
+    for line in printed {
         println!("{}", line.text(from));
     }
     Exit::Done
 }
 
-/// Whether a line tells who held the duty to report usage, or what that depends on.
-fn tells_of_usage(line: &Line) -> bool {
+/// Returns whether a line is about the duty to report usage or about its dependencies.
+fn is_about_usage(line: &Line) -> bool {
     match line.event.as_str() {
         "lease_taken" => line.field("service") == Some("usage"),
         "lease_not_taken" => line.field("duty") == Some("usage"),
@@ -121,8 +127,7 @@
 
 fn read(path: &Path, out: &mut Vec<Line>) -> std::io::Result<()> {
     for text in BufReader::new(File::open(path)?).lines() {
-        // What isn't one of our lines, such as a note of the supervisor's, is
-        // passed over.
+        // Lines of other programs, such as the supervisor, are skipped.
         if let Some(line) = Line::parse(&text?) {
             out.push(line);
         }
@@ -130,12 +135,13 @@
     Ok(())
 }
 
-/// Whether a line that isn't about the request tells what its process believed of
-/// an upstream that the request met, or of a dependency.
-fn explains(line: &Line, own: &[&Line]) -> bool {
-    let is_process = own.iter().any(|o| o.process == line.process);
+/// Returns whether a line of one of the request's processes is about an upstream of the request or
+/// about a dependency of the process.
+fn is_context(line: &Line, own_lines: &[&Line]) -> bool {
+    let is_process = own_lines.iter().any(|o| o.process == line.process);
     let upstream = line.field("upstream");
-    let is_upstream = upstream.is_some() && own.iter().any(|o| o.field("upstream") == upstream);
+    let is_upstream =
+        upstream.is_some() && own_lines.iter().any(|o| o.field("upstream") == upstream);
     match line.event.as_str() {
         "upstream_suspended" | "upstream_leaving" | "upstream_restarted" => {
             is_process && is_upstream
@@ -146,9 +152,10 @@
     }
 }
 
-/// Whether a line tells of the same work that upstreams ended under it, or what was decided.
-fn tells_of_work(line: &Line, own: &[&Line]) -> bool {
-    let is_told = matches!(
+/// Returns whether a line is about crashes of upstreams under the same work, or about the decision
+/// to block or release that work.
+fn is_about_same_work(line: &Line, own_lines: &[&Line]) -> bool {
+    let is_work_event = matches!(
         line.event.as_str(),
         "connection_broke"
             | "upstream_went_dark"
@@ -157,21 +164,21 @@
             | "work_tried"
     );
     let work = line.field("work");
-    let until = own.last().map_or(0, |last| last.at_ms);
-    let from = until.saturating_sub(WORK_BEFORE_MS);
-    let is_same = work.is_some() && own.iter().any(|o| o.field("work") == work);
-    is_told && is_same && (from..=until).contains(&line.at_ms)
+    let until = own_lines.last().map_or(0, |last| last.at_ms);
+    let from = until.saturating_sub(WORK_HISTORY_MS);
+    let is_same = work.is_some() && own_lines.iter().any(|o| o.field("work") == work);
+    is_work_event && is_same && (from..=until).contains(&line.at_ms)
 }
 
 impl Line {
     fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
-        let word = |name: &str| Some(fields.get(name)?.as_str()?.to_owned());
+        let text_field = |name: &str| Some(fields.get(name)?.as_str()?.to_owned());
         Some(Self {
             at_ms: fields.get("ts_ms")?.as_u64()?,
-            process: word("process")?,
-            event: word("event")?,
+            process: text_field("process")?,
+            event: text_field("event")?,
             fields,
         })
     }
@@ -180,7 +187,7 @@
         self.fields.get(name)?.as_str()
     }
 
-    fn is_about(&self, id: &str) -> bool {
+    fn is_of_request(&self, id: &str) -> bool {
         self.field("request") == Some(id)
     }
 
@@ -188,12 +195,12 @@
         self.fields.get("window").and_then(Value::as_u64) == Some(window)
     }
 
-    /// The line as it is printed, with the time since the request's first line.
+    /// Returns the line as it is printed, with the time since `first_ms`.
     fn text(&self, first_ms: u64) -> String {
         let offset = self.at_ms as f64 - first_ms as f64;
         let mut out = format!("{offset:+8.0} ms  {}  {}", self.process, self.event);
-        let told = self.fields.iter().filter(|(_, v)| !v.is_null());
-        for (name, value) in told.filter(|(n, _)| !LEADING.contains(&n.as_str())) {
+        let present = self.fields.iter().filter(|(_, v)| !v.is_null());
+        for (name, value) in present.filter(|(n, _)| !LEADING.contains(&n.as_str())) {
             let value = value
                 .as_str()
                 .map_or_else(|| value.to_string(), str::to_owned);
--- a/crates/engine/tests/client.rs
+++ b/crates/engine/tests/client.rs
@@ -6,20 +6,20 @@
 use engine::sse::EventReader;
 use engine::{Client, EngineError, Order, OrderAnswer};
 use fakes::answer;
-use fakes::engine::{EngineStandin, Rates};
-use fakes::serve::Standin;
-use fakes::{Faults, Running, start};
+use fakes::engine::{FakeEngine, Rates};
+use fakes::serve::FakeServer;
+use fakes::{Faults, RunningServer, start};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use wire::{Model, Role};
 
-async fn start_engine(fencing: bool) -> (Arc<EngineStandin>, Client, Running) {
+async fn start_engine(fencing: bool) -> (Arc<FakeEngine>, Client, RunningServer) {
     let step = Duration::from_millis(1);
     let change = Duration::from_millis(20);
-    let standin = EngineStandin::new(Rates {
-        step,
-        change,
+    let standin = FakeEngine::new(Rates {
+        step_time: step,
+        change_time: change,
         fencing,
         ..Rates::default()
     });
@@ -88,7 +88,7 @@
     let (standin, client, _running) = start_engine(true).await;
     load(&client, 1).await;
     let read_with = |f: Faults| {
-        standin.gate().set(f);
+        standin.injector().set(f);
         let client = client.clone();
         async move {
             // Another running completion, whose chunks can be mixed up with this one's.
--- a/crates/fakes/src/engine/orders.rs
+++ b/crates/fakes/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine stand-in, and the history by which they are judged.
+//! Orders to the fake engine, and the history that tests check.
 
 use super::batch::Batch;
 use super::cache::PrefixCache;
@@ -8,57 +8,57 @@
 use std::time::{Duration, Instant};
 use wire::Role;
 
-/// Most orders that the history keeps.
+/// Largest number of orders, and of completions, in the history.
 const MAX_HISTORY: usize = 100_000;
 
-/// An order as the engine saw it.
+/// An order that the engine received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderSeen {
     /// The order.
     pub order: Order,
-    /// What the engine said.
+    /// The engine's answer.
     pub answer: OrderAnswer,
-    /// A different change was under way.
+    /// Whether a different change was in progress.
     pub conflicting: bool,
-    /// The engine had taken a higher number before, and still did this one.
+    /// Whether the engine carried out the order though it had accepted a higher fencing number.
     pub stale_effective: bool,
-    /// Streams that the change broke off.
+    /// Number of streams that the change aborted.
     pub cut: u64,
-    /// When it came, by [`crate::clock::now_ms`].
+    /// Arrival time by [`crate::clock::now_ms`].
     pub at_ms: u64,
 }
 
-/// A completion as the engine saw it.
+/// A completion that the engine accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRun {
-    /// The request's id with the number of the try.
+    /// The request's id with the number of the attempt.
     pub id: String,
-    /// When it came, by [`crate::clock::now_ms`].
+    /// Arrival time by [`crate::clock::now_ms`].
     pub at_ms: u64,
 }
 
-/// What an engine saw.
+/// The orders and completions that an engine received.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineHistory {
     /// Orders, in order of arrival.
     pub orders: Vec<OrderSeen>,
-    /// Completions that it took.
+    /// Completions that it accepted, in order of arrival.
     pub runs: Vec<EngineRun>,
 }
 
-/// The engine's state as far as orders change it.
+/// The state that orders change.
 #[derive(Debug)]
 pub struct Orders {
     fencing: bool,
-    change: Duration,
+    change_time: Duration,
     state: EngineState,
-    until: Option<(Instant, Order)>,
+    pending: Option<(Instant, Order)>,
     history: EngineHistory,
 }
 
 impl Orders {
-    /// An engine with nothing loaded.
-    pub fn new(fencing: bool, change: Duration) -> Self {
+    /// Creates the state of an engine without a model.
+    pub fn new(fencing: bool, change_time: Duration) -> Self {
         let state = EngineState {
             role: Role::Mixed,
             model: None,
@@ -68,39 +68,39 @@
         };
         Self {
             fencing,
-            change,
+            change_time,
             state,
-            until: None,
+            pending: None,
             history: EngineHistory::default(),
         }
     }
 
-    /// The state, once a change whose time has come is done.
+    /// Returns the state, after completing a change that is due.
     pub fn state(&mut self) -> EngineState {
-        if let Some((at, order)) = &self.until
+        if let Some((at, order)) = &self.pending
             && Instant::now() >= *at
         {
             self.state.role = order.role;
             self.state.model = Some(order.model.clone());
             self.state.changing = false;
-            self.until = None;
+            self.pending = None;
         }
         self.state.clone()
     }
 
-    /// Whether the engine serves a model now.
+    /// Returns whether the engine serves a model now.
     pub fn serves(&mut self, model: &str) -> bool {
         let state = self.state();
         !state.changing && state.model.is_some_and(|m| m.name == model)
     }
 
-    /// The history.
+    /// Returns the history.
     pub fn history(&self) -> EngineHistory {
         self.history.clone()
     }
 
-    /// Notes a completion that was taken.
-    pub fn note_run(&mut self, id: &str) {
+    /// Records an accepted completion.
+    pub fn record_run(&mut self, id: &str) {
         if self.history.runs.len() < MAX_HISTORY {
             self.history.runs.push(EngineRun {
                 id: id.to_owned(),
@@ -109,8 +109,9 @@
         }
     }
 
-    /// Takes an order.
-    pub fn take(
+    /// Starts the change that an order asks for, or refuses the order as stale. With `crash`, the
+    /// engine crashes during the change.
+    pub fn apply(
         &mut self,
         order: &Order,
         batch: &mut Batch,
@@ -119,17 +120,17 @@
     ) -> OrderAnswer {
         let state = self.state();
         let repeated = order.fence == state.fence;
-        if repeated && self.until.as_ref().is_some_and(|(_, o)| o == order) {
+        if repeated && self.pending.as_ref().is_some_and(|(_, o)| o == order) {
             return OrderAnswer::Taken;
         }
         let stale = order.fence < state.fence;
         if stale && self.fencing {
-            self.note(order, OrderAnswer::Stale, false, false, 0);
+            self.record(order, OrderAnswer::Stale, false, false, 0);
             return OrderAnswer::Stale;
         }
-        let conflicting = self.until.as_ref().is_some_and(|(_, o)| o != order);
+        let conflicting = self.pending.as_ref().is_some_and(|(_, o)| o != order);
         let cut = batch.abort();
-        self.note(order, OrderAnswer::Taken, conflicting, stale, cut);
+        self.record(order, OrderAnswer::Taken, conflicting, stale, cut);
         self.state.fence = order.fence;
         if crash {
             self.crash(cache);
@@ -139,21 +140,21 @@
             cache.clear();
         }
         self.state.changing = true;
-        self.until = Some((Instant::now() + self.change, order.clone()));
+        self.pending = Some((Instant::now() + self.change_time, order.clone()));
         OrderAnswer::Taken
     }
 
-    /// The engine starts anew with nothing loaded; its orders' history stays.
+    /// Restarts the engine without a model. The history of orders stays.
     fn crash(&mut self, cache: &mut PrefixCache) {
         cache.clear();
-        self.until = None;
+        self.pending = None;
         self.state.changing = false;
         self.state.model = None;
         self.state.fence = 0;
         self.state.incarnation += 1;
     }
 
-    fn note(
+    fn record(
         &mut self,
         order: &Order,
         answer: OrderAnswer,
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -1,7 +1,7 @@
-//! The host list, which lags behind the truth.
+//! A fake host list whose readers see changes late.
 
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json, status};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json, status};
 use hyper::{Method, Response, StatusCode};
 use net::Body;
 use std::sync::{Arc, Mutex};
@@ -9,25 +9,25 @@
 use store::http::PATH_HOSTS;
 use store::{Host, HostList, HostState};
 
-/// The stand-in. Hosts are set by `POST /set` with a [`Host`].
+/// A host list that is changed by `POST /set` with a [`Host`].
 #[derive(Debug)]
-pub struct HostsStandin {
-    gate: FaultGate,
+pub struct FakeHostList {
+    injector: FaultInjector,
     lag: Duration,
     changes: Mutex<Vec<(Instant, Host)>>,
 }
 
-impl HostsStandin {
-    /// A list whose readers see a change after `lag`.
+impl FakeHostList {
+    /// Creates an empty list whose readers see each change after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self {
-            gate: FaultGate::default(),
+            injector: FaultInjector::default(),
             lag,
             changes: Mutex::default(),
         }
     }
 
-    fn seen(&self) -> HostList {
+    fn visible_list(&self) -> HostList {
         let changes = self.changes.lock().expect("no panic while locked");
         let mut hosts: Vec<Host> = Vec::new();
         let mut version = 1;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Changes a host's state.
+    /// Sets a host's state.
     pub fn set(&self, name: &str, state: HostState) {
         let host = Host {
             name: name.to_owned(),
@@ -55,9 +55,9 @@
     }
 }
 
-impl Standin for HostsStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakeHostList {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
@@ -70,7 +70,7 @@
                 status(StatusCode::OK)
             }
             (Method::GET, PATH_HOSTS) => {
-                let mut list = self.seen();
+                let mut list = self.visible_list();
                 if call.query.parse() == Ok(list.version) {
                     list.hosts = None;
                 }
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -1,7 +1,7 @@
-//! The object store.
+//! A fake object store.
 
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json, status};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json, status};
 use bytes::Bytes;
 use hyper::{Method, Response, StatusCode};
 use net::{Body, full};
@@ -10,15 +10,15 @@
 use std::sync::{Arc, Mutex};
 use store::http::{PATH_LIST, PATH_OBJECT};
 
-/// The stand-in.
+/// An object store that keeps its objects in memory.
 #[derive(Debug, Default)]
-pub struct ObjectsStandin {
-    gate: FaultGate,
+pub struct FakeObjectStore {
+    injector: FaultInjector,
     objects: Mutex<BTreeMap<String, Bytes>>,
     puts: AtomicU64,
 }
 
-impl ObjectsStandin {
+impl FakeObjectStore {
     fn list(&self, prefix: &str) -> Vec<String> {
         let objects = self.objects.lock().expect("no panic while locked");
         let from = objects.range(prefix.to_owned()..);
@@ -35,7 +35,7 @@
             .cloned()
     }
 
-    /// Objects written so far.
+    /// Returns the number of writes so far.
     pub fn puts(&self) -> u64 {
         self.puts.load(Ordering::Relaxed)
     }
@@ -49,9 +49,9 @@
     }
 }
 
-impl Standin for ObjectsStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakeObjectStore {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -1,67 +1,67 @@
-//! A plain service, which counts the runs of each call.
+//! A fake plain service that records each call it runs.
 
 use crate::answer::plain_digest;
 use crate::clock::now_ms;
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json};
 use hyper::Response;
 use net::Body;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Most runs that the history keeps.
+/// Largest number of runs in the history.
 const MAX_HISTORY: usize = 200_000;
 
-/// One run, as the service saw it.
+/// A call that the service ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The caller's key, or an empty text.
+    /// The caller's idempotency key, or an empty string.
     pub key: String,
-    /// The request's id as the system gave it.
+    /// The id that the system gave the request.
     pub request: String,
     /// Method and path.
     pub call: String,
     /// Digest of method, path and body.
     pub digest: String,
-    /// When it came, by [`crate::clock::now_ms`].
+    /// Arrival time by [`crate::clock::now_ms`].
     pub at_ms: u64,
 }
 
-/// What the service answers.
+/// The body of the service's answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainAnswer {
     /// Digest of method, path and body.
     pub digest: String,
 }
 
-/// The stand-in.
+/// A plain service whose calls take a fixed time.
 #[derive(Debug)]
-pub struct PlainStandin {
-    gate: FaultGate,
-    work: Duration,
+pub struct FakePlainService {
+    injector: FaultInjector,
+    work_time: Duration,
     runs: Mutex<Vec<Run>>,
 }
 
-impl PlainStandin {
-    /// A service that takes `work` for each call.
-    pub fn new(work: Duration) -> Self {
+impl FakePlainService {
+    /// Creates a service that takes `work_time` for each call.
+    pub fn new(work_time: Duration) -> Self {
         Self {
-            gate: FaultGate::default(),
-            work,
+            injector: FaultInjector::default(),
+            work_time,
             runs: Mutex::default(),
         }
     }
 
-    /// The runs so far, in order.
+    /// Returns the runs so far, in order of arrival.
     pub fn history(&self) -> Vec<Run> {
         self.runs.lock().expect("no panic while locked").clone()
     }
 }
 
-impl Standin for PlainStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakePlainService {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
@@ -87,7 +87,7 @@
                 runs.push(run);
             }
         }
-        tokio::time::sleep(self.work).await;
+        tokio::time::sleep(self.work_time).await;
         json(&PlainAnswer { digest })
     }
 }
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -1,7 +1,7 @@
-//! The transactional table service.
+//! A fake transactional table service.
 
-use crate::fault::FaultGate;
-use crate::serve::{Call, Standin, json, status};
+use crate::fault::FaultInjector;
+use crate::serve::{Call, FakeServer, json, status};
 use hyper::{Response, StatusCode};
 use net::Body;
 use serde::{Deserialize, Serialize};
@@ -10,13 +10,13 @@
 use store::http::{CommitBody, PATH_COMMIT, PATH_READ, PATH_SCAN, ScanBody};
 use store::{Conflict, Row, Txn};
 
-/// Most commits that the history keeps.
+/// Largest number of written rows in the history.
 const MAX_HISTORY: usize = 200_000;
 
-/// The stand-in.
+/// A table service that keeps its rows in memory.
 #[derive(Debug, Default)]
-pub struct TableStandin {
-    gate: FaultGate,
+pub struct FakeTable {
+    injector: FaultInjector,
     state: Mutex<State>,
 }
 
@@ -27,21 +27,21 @@
     history: History,
 }
 
-/// What the stand-in saw.
+/// The calls that the table service answered.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct History {
-    /// Reads and scans answered.
+    /// Number of reads and scans.
     pub reads: u64,
-    /// Transactions committed.
+    /// Number of committed transactions.
     pub commits: u64,
-    /// Transactions refused.
+    /// Number of refused transactions.
     pub refused: u64,
-    /// Rows written, in order.
+    /// Written rows, in order of their commits.
     pub written: Vec<Row>,
 }
 
-impl TableStandin {
-    /// What the table service saw.
+impl FakeTable {
+    /// Returns what the table service did so far.
     pub fn history(&self) -> History {
         self.state
             .lock()
@@ -112,9 +112,9 @@
     }
 }
 
-impl Standin for TableStandin {
-    fn gate(&self) -> &FaultGate {
-        &self.gate
+impl FakeServer for FakeTable {
+    fn injector(&self) -> &FaultInjector {
+        &self.injector
     }
 
     async fn answer(self: Arc<Self>, call: Call) -> Response<Body> {
--- a/crates/soak/src/scene.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,8 +1,8 @@
-//! What a soak runs: gateways as processes, a store and workers behind relays.
+//! The system under test: gateway processes, a store and workers, all connected by relays.
 
-use crate::cut::{GRACE, Record, Stopped, Trouble};
-use crate::deadly::Deadly;
-use crate::judge::PIECES;
+use crate::checker::PIECES;
+use crate::crashing::CrashingRequest;
+use crate::disruption::{Disruption, PlannedStop, STOP_GRACE, Timeline};
 use crate::keys::{HOLDER_GAP, Key, Keys, WINDOW};
 use bench::probe::serves;
 use bench::procs::{Proc, Signal};
@@ -19,30 +19,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Gateways of a soak.
+/// Number of gateways.
 pub const GATEWAYS: u8 = 3;
-/// Workers of a soak.
+/// Number of workers at the start.
 pub const WORKERS_COUNT: u8 = 4;
-/// Engines of a soak.
+/// Number of engines.
 pub const ENGINES_COUNT: u8 = 2;
 
-/// Text in the body of the requests that crash workers.
-pub const DEADLY: &str = "deadly";
-/// How long a worker is away after a crash.
-const AWAY: Duration = Duration::from_millis(400);
-/// Time between two heartbeats of a worker.
-const HEARTBEAT: Duration = Duration::from_millis(1200);
-/// Start of all workers, by their clocks, in milliseconds.
-const BORN: u64 = 1_700_000_000_000;
+/// Text in the bodies of requests that crash workers.
+pub const CRASHING_BODY: &str = "deadly";
+/// How long a worker is down after a crash.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
+/// Interval of a worker's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
+/// Start time that all workers report, in milliseconds.
+const STARTED_AT_MS: u64 = 1_700_000_000_000;
 
-/// A gateway: its process, and where clients reach it.
+/// A gateway process and its addresses.
 #[derive(Debug)]
 pub struct Gateway {
     /// The process.
     pub proc: Proc,
-    /// Where clients connect.
-    pub callers: SocketAddr,
-    /// The relay between it and the store.
+    /// The address for clients.
+    pub client_addr: SocketAddr,
+    /// The relay between the process and the store.
     pub store: Relay,
     name: String,
     settings: PathBuf,
@@ -53,73 +53,73 @@
 pub struct Upstream {
     /// The worker.
     pub worker: Worker,
-    /// Its id.
+    /// The id under which it is registered.
     pub id: String,
-    /// The relay before it, under the address that it registers.
+    /// The relay in front of the worker.
     pub relay: Relay,
-    /// That address.
+    /// The relay's address, which the worker registers.
     pub addr: SocketAddr,
-    /// What the relay does.
+    /// The relay's current behavior.
     link: Link,
 }
 
-/// All of it.
+/// The gateways, the store and the workers of a soak.
 #[derive(Debug)]
-pub struct Scene {
+pub struct Cluster {
     /// The store.
     pub store: Arc<Store>,
-    /// The platform's calls that one host makes for all.
+    /// The platform's endpoint for usage reports, which one host calls for all.
     pub cloud: Cloud,
-    /// Tenants' keys.
+    /// The tenants' API keys.
     pub keys: Keys,
-    /// Requests that were sent to crash workers.
-    pub deadly: Vec<Deadly>,
+    /// Requests that crash workers.
+    pub crashing_requests: Vec<CrashingRequest>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    /// Workers that are registered.
+    /// Registered workers.
     pub upstreams: Vec<Upstream>,
-    /// Engines. Nothing happens to them; they answer as workers do.
+    /// Engines. They get no faults and answer as workers do.
     pub engines: Vec<Upstream>,
-    /// Workers that have left; their histories still count.
-    pub gone: Vec<Upstream>,
-    /// Planned stops, and what excuses a cut answer.
-    pub record: Record,
+    /// Workers that were removed. The check still includes what they ran.
+    pub removed_upstreams: Vec<Upstream>,
+    /// Planned stops, and the disruptions that excuse a cut answer.
+    pub timeline: Timeline,
     net: u8,
     binary: PathBuf,
     started: u32,
     version: u64,
 }
 
-impl Scene {
-    /// Starts all of it on the addresses 127.65.NET.0/24, with files in a folder.
+impl Cluster {
+    /// Starts the cluster on the addresses 127.65.NET.0/24, with settings and logs in `dir`.
     pub async fn start(net: u8, binary: &Path, dir: &Path) -> io::Result<Self> {
         let store = Arc::new(Store::start(address(net, 1, 7000))?);
-        let mut scene = Self {
+        let mut cluster = Self {
             store,
             cloud: Cloud::start(address(net, 2, 7000))?,
             keys: Keys::default(),
-            deadly: Vec::new(),
+            crashing_requests: Vec::new(),
             gateways: Vec::new(),
             upstreams: Vec::new(),
             engines: Vec::new(),
-            gone: Vec::new(),
-            record: Record::default(),
+            removed_upstreams: Vec::new(),
+            timeline: Timeline::default(),
             net,
             binary: binary.to_owned(),
             started: 0,
             version: 0,
         };
-        scene.change_config();
+        cluster.change_config();
         for _ in 0..WORKERS_COUNT {
-            scene.add_worker().await?;
+            cluster.add_worker().await?;
         }
         for _ in 0..ENGINES_COUNT {
-            scene.add_engine().await?;
+            cluster.add_engine().await?;
         }
         for n in 0..GATEWAYS {
-            scene.add_gateway(n, dir)?;
+            cluster.add_gateway(n, dir)?;
         }
-        Ok(scene)
+        Ok(cluster)
     }
 
     fn add_gateway(&mut self, n: u8, dir: &Path) -> io::Result<()> {
@@ -133,7 +133,7 @@
         std::fs::write(&path, text)?;
         self.gateways.push(Gateway {
             proc: Proc::start_gateway(&self.binary, &name, &path)?,
-            callers: SocketAddr::new(IpAddr::V4(ip), 7000),
+            client_addr: SocketAddr::new(IpAddr::V4(ip), 7000),
             store,
             name,
             settings: path,
@@ -141,111 +141,112 @@
         Ok(())
     }
 
-    /// Changes how the store treats calls.
+    /// Sets how the store answers calls.
     pub fn set_store(&mut self, mode: StoreMode) {
         self.store.set_mode(mode);
         self.keys
-            .note_store(None, mode == StoreMode::Serve, Instant::now());
+            .record_store(None, mode == StoreMode::Serve, Instant::now());
     }
 
-    /// Changes the link between a gateway and the store.
+    /// Sets the behavior of the link between a gateway and the store.
     pub fn set_store_link(&mut self, n: usize, link: Link) {
         self.gateways[n].store.set(link);
         self.keys
-            .note_store(Some(n), link == Link::Open, Instant::now());
+            .record_store(Some(n), link == Link::Open, Instant::now());
     }
 
-    /// Takes a tenant's second key away, or gives it back.
+    /// Revokes a tenant's revocable key, or restores it.
     pub fn toggle_key(&mut self, tenant: usize) {
-        // Out of force from the store's answer on, in force again before it.
+        // Recorded before the store is written, so that a restored key counts as valid at once.
         self.keys.toggle(tenant, Instant::now());
         self.change_config();
     }
 
-    /// Starts a gateway's process anew, once the old one has ended.
+    /// Starts a gateway's process again after the old one has ended.
     pub fn restart(&mut self, n: usize) -> io::Result<()> {
         let now = Instant::now();
-        if let Some(stop) = self.stop_under_way(n) {
+        if let Some(stop) = self.stop_of(n) {
             stop.until = Some(now);
         }
-        self.end_trouble(Some(n), now);
+        self.end_disruption(Some(n), now);
         let gateway = &mut self.gateways[n];
         gateway.proc = Proc::start_gateway(&self.binary, &gateway.name, &gateway.settings)?;
         Ok(())
     }
 
-    /// Sends a gateway's process a signal, and notes what it excuses.
+    /// Sends a signal to a gateway's process and records the stop or disruption that it causes.
     pub fn signal(&mut self, n: usize, signal: Signal) {
         let now = Instant::now();
         match signal {
-            Signal::Term if self.stop_under_way(n).is_none() => self.record.stops.push(Stopped {
+            Signal::Term if self.stop_of(n).is_none() => self.timeline.stops.push(PlannedStop {
                 gateway: n,
                 signal: now,
                 until: None,
             }),
-            Signal::Kill | Signal::Pause => self.begin_trouble(Some(n), now),
-            Signal::Resume => self.end_trouble(Some(n), now),
+            Signal::Kill | Signal::Pause => self.begin_disruption(Some(n), now),
+            Signal::Resume => self.end_disruption(Some(n), now),
             Signal::Term | Signal::Hangup => {}
         }
         self.gateways[n].proc.signal(signal);
     }
 
-    /// Kills what hasn't ended within the grace, as the platform does. It excuses nothing.
-    pub fn end_grace(&self) {
-        let is_over = |s: &&Stopped| s.until.is_none() && s.signal.elapsed() >= GRACE;
-        for stop in self.record.stops.iter().filter(is_over) {
+    /// Kills processes that haven't ended within the grace period, as the platform does. Such a
+    /// kill excuses no cut answer.
+    pub fn kill_overdue(&self) {
+        let is_over = |s: &&PlannedStop| s.until.is_none() && s.signal.elapsed() >= STOP_GRACE;
+        for stop in self.timeline.stops.iter().filter(is_over) {
             self.gateways[stop.gateway].proc.signal(Signal::Kill);
         }
     }
 
-    /// Changes the link to a worker, and notes what it excuses.
+    /// Sets the behavior of the link to a worker and records the disruption.
     pub fn set_worker_link(&mut self, n: usize, link: Link) {
         self.upstreams[n].link = link;
         self.upstreams[n].relay.set(link);
-        self.note_links();
+        self.record_worker_links();
     }
 
-    fn note_links(&mut self) {
+    fn record_worker_links(&mut self) {
         let now = Instant::now();
         match self.upstreams.iter().any(|u| u.link != Link::Open) {
-            true => self.begin_trouble(None, now),
-            false => self.end_trouble(None, now),
+            true => self.begin_disruption(None, now),
+            false => self.end_disruption(None, now),
         }
     }
 
-    fn stop_under_way(&mut self, n: usize) -> Option<&mut Stopped> {
-        let mut stops = self.record.stops.iter_mut();
+    fn stop_of(&mut self, n: usize) -> Option<&mut PlannedStop> {
+        let mut stops = self.timeline.stops.iter_mut();
         stops.find(|s| s.gateway == n && s.until.is_none())
     }
 
-    /// Notes a fault, unless one of the same is under way.
-    fn begin_trouble(&mut self, gateway: Option<usize>, from: Instant) {
-        let mut troubles = self.record.troubles.iter();
-        if troubles.any(|t| t.gateway == gateway && t.until.is_none()) {
+    /// Records the start of a disruption, unless one of the same gateway is in progress.
+    fn begin_disruption(&mut self, gateway: Option<usize>, from: Instant) {
+        let mut disruptions = self.timeline.disruptions.iter();
+        if disruptions.any(|t| t.gateway == gateway && t.until.is_none()) {
             return;
         }
-        self.record.troubles.push(Trouble {
+        self.timeline.disruptions.push(Disruption {
             gateway,
             from,
             until: None,
         });
     }
 
-    fn end_trouble(&mut self, gateway: Option<usize>, until: Instant) {
-        let troubles = self.record.troubles.iter_mut();
-        for open in troubles.filter(|t| t.gateway == gateway && t.until.is_none()) {
+    fn end_disruption(&mut self, gateway: Option<usize>, until: Instant) {
+        let disruptions = self.timeline.disruptions.iter_mut();
+        for open in disruptions.filter(|t| t.gateway == gateway && t.until.is_none()) {
             open.until = Some(until);
         }
     }
 
-    /// Starts a worker that some requests crash, and registers it.
+    /// Starts a worker that crashes on requests with [`CRASHING_BODY`], and registers it.
     pub async fn add_worker(&mut self) -> io::Result<()> {
         let upstream = self.start_upstream().await?;
         self.register(&upstream, "ready");
         let (store, id, addr) = (self.store.clone(), upstream.id.clone(), upstream.addr);
         upstream.worker.set_crash(Some(Crash {
-            trigger: DEADLY.into(),
-            downtime: AWAY,
+            trigger: CRASHING_BODY.into(),
+            downtime: CRASH_DOWNTIME,
             on_start: Box::new(move |born| register(&store, &id, born, addr, "ready")),
         }));
         self.upstreams.push(upstream);
@@ -261,14 +262,14 @@
         Ok(())
     }
 
-    /// Starts an upstream behind a relay, under an id of its own.
+    /// Starts an upstream with a new id behind a relay.
     async fn start_upstream(&mut self) -> io::Result<Upstream> {
         let n = self.started;
         self.started += 1;
         let (high, low) = ((n / 200) as u8, (n % 200) as u8);
         let port = 7000 + u16::from(high);
         let listen = address(self.net, 50 + low, port);
-        let worker = Worker::start_with_time(listen, &format!("i-{n}"), BORN).await?;
+        let worker = Worker::start_with_time(listen, &format!("i-{n}"), STARTED_AT_MS).await?;
         worker.set_default_action(Action::ServeFor(PIECES));
         let addr = address(self.net, 50 + low, port + 100);
         Ok(Upstream {
@@ -280,15 +281,15 @@
         })
     }
 
-    /// Writes a worker's row.
+    /// Writes a worker's row in the registry.
     pub fn register(&self, upstream: &Upstream, state: &str) {
         let born = upstream.worker.start_ms().unwrap_or_default();
         register(&self.store, &upstream.id, born, upstream.addr, state);
     }
 
-    /// Lets another writer spoil a worker's row, or write one of its own, until the worker's
-    /// next heartbeat.
-    pub fn spoil_row(&self, n: usize, rng: &mut fastrand::Rng) {
+    /// Overwrites a worker's row with an unreadable one until the worker's next heartbeat, and
+    /// adds another unreadable row, as a faulty writer would.
+    pub fn corrupt_row(&self, n: usize, rng: &mut fastrand::Rng) {
         let upstream = &self.upstreams[n];
         let born = upstream.worker.start_ms().unwrap_or_default();
         let good = worker_row_with_start(born, "plain", upstream.addr, "ready");
@@ -299,32 +300,32 @@
         let (store, id, addr) = (self.store.clone(), upstream.id.clone(), upstream.addr);
         let bad = bad.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(HEARTBEAT).await;
-            // It may have started again, or left.
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+            // The worker may have restarted or left.
             if store.raw(WORKER_TABLE, &id) == Some(bad) {
                 register(&store, &id, born, addr, "ready");
             }
         });
     }
 
-    /// How often a request with a body has reached workers.
-    pub fn reached(&self, body: &str) -> usize {
-        let all = self.upstreams.iter().chain(&self.gone);
+    /// Returns how many times workers received a request with this body.
+    pub fn times_received(&self, body: &str) -> usize {
+        let all = self.upstreams.iter().chain(&self.removed_upstreams);
         let seen = all.flat_map(|u| u.worker.requests());
         seen.filter(|s| s.body == body.as_bytes()).count()
     }
 
-    /// Removes a worker's row; it goes on serving what it has.
+    /// Removes a worker's row. The worker keeps serving the requests that it has.
     pub fn retire(&mut self, n: usize) {
         let upstream = self.upstreams.remove(n);
-        // It isn't registered anew.
+        // A crash must not register it again.
         upstream.worker.set_crash(None);
         self.store.remove(WORKER_TABLE, &upstream.id);
-        self.gone.push(upstream);
-        self.note_links();
+        self.removed_upstreams.push(upstream);
+        self.record_worker_links();
     }
 
-    /// Writes a new version of the configuration, with a route more each time.
+    /// Writes a new version of the configuration, with one additional route.
     pub fn change_config(&mut self) {
         self.version += 3;
         let mut all = routes();
@@ -336,10 +337,10 @@
         self.store.put(CONFIG_ROW.0, CONFIG_ROW.1, &config);
     }
 
-    /// Waits until each gateway serves, at most for a time; says whether all do.
+    /// Waits up to `bound` until all gateways serve. Returns whether they do.
     pub async fn all_serve(&self, bound: Duration) -> bool {
-        let key = Key::Own(0).header();
-        let all = self.gateways.iter().map(|g| serves(g.callers, &key));
+        let key = Key::Permanent(0).header();
+        let all = self.gateways.iter().map(|g| serves(g.client_addr, &key));
         let served = async {
             for one in all {
                 one.await;
--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -1,68 +1,68 @@
-//! Tenants' keys in a soak, and the promises about them and about usage.
+//! Tenants' API keys in a soak, and the guarantees about keys and usage reports.
 
-use crate::cut::{Record, Trouble};
-use crate::judge::{Asked, Ran};
+use crate::checker::{ClientRequest, WorkerRun};
+use crate::disruption::{Disruption, Timeline};
 use serde_json::Value;
 use standin::{CloudCall, fixture};
 use std::time::{Duration, Instant};
 
-/// Tenants whose second key is taken away and given back.
+/// Number of tenants with a revocable key.
 pub const TENANTS: usize = 4;
-/// The tenant of the requests after the last fault, whose usage must be right.
+/// Tenant of the requests after the last fault, whose usage must be reported correctly.
 pub const LAST_TENANT: &str = "last";
-/// Length of a window of usage.
+/// Length of a usage window.
 pub const WINDOW: Duration = Duration::from_secs(1);
-/// Shortest time between two holders' reports.
+/// Shortest time between reports of two lease holders.
 pub const HOLDER_GAP: Duration = Duration::from_millis(500);
-/// Time after which a key that was taken away must run nothing: the bound of the settings,
-/// and room for a busy machine.
-const BOUND: Duration = Duration::from_millis(2500);
-/// Time without disturbance before a request for which the bound holds: the bound, and the
-/// time in which a process may still be out of touch.
-const IN_TOUCH: Duration = Duration::from_secs(7);
-/// Part by which usage may be off.
-const TOLERANCE: f64 = 0.05;
+/// Time after which requests with a revoked key must not run: the bound of the settings, and
+/// a margin for a busy machine.
+const REVOCATION_BOUND: Duration = Duration::from_millis(2500);
+/// Time without disruptions that a gateway needs before a request for the bound to apply: the
+/// bound, and the time in which the process may still be disconnected.
+const CONNECTED_TIME: Duration = Duration::from_secs(7);
+/// Largest relative error of the reported usage.
+const USAGE_TOLERANCE: f64 = 0.05;
 
-/// The key that a request bears.
+/// The API key of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Key {
-    /// A tenant's own, always in force.
-    Own(usize),
-    /// A tenant's second one, which comes and goes.
-    Second(usize),
-    /// That of the requests after the last fault.
+    /// A tenant's key that is always valid.
+    Permanent(usize),
+    /// A tenant's key that is revoked and restored.
+    Revocable(usize),
+    /// The key of [`LAST_TENANT`].
     Last,
 }
 
 impl Key {
-    /// Draws one of a client's tenant.
+    /// Draws a key of a client's tenant.
     pub fn draw(client: u32, is_last: bool, rng: &mut fastrand::Rng) -> Self {
         let tenant = client as usize % TENANTS;
         match (is_last, rng.u32(..4)) {
             (true, _) => Self::Last,
-            (false, 0) => Self::Second(tenant),
-            (false, _) => Self::Own(tenant),
+            (false, 0) => Self::Revocable(tenant),
+            (false, _) => Self::Permanent(tenant),
         }
     }
 
-    /// The header line of a request.
+    /// Returns the header line with the key.
     pub fn header(self) -> String {
         format!("key: {}\r\n", self.text())
     }
 
-    /// The key itself.
+    /// Returns the key itself.
     pub fn text(self) -> String {
         match self {
-            Self::Own(tenant) => format!("own-key-{tenant}"),
-            Self::Second(tenant) => format!("second-key-{tenant}"),
+            Self::Permanent(tenant) => format!("own-key-{tenant}"),
+            Self::Revocable(tenant) => format!("second-key-{tenant}"),
             Self::Last => "last-key".into(),
         }
     }
 
-    /// Name of the tenant that holds it.
+    /// Returns the name of the tenant that owns the key.
     pub fn tenant(self) -> String {
         match self {
-            Self::Own(tenant) | Self::Second(tenant) => tenant_name(tenant),
+            Self::Permanent(tenant) | Self::Revocable(tenant) => tenant_name(tenant),
             Self::Last => LAST_TENANT.into(),
         }
     }
@@ -72,33 +72,33 @@
     format!("tenant-{tenant}")
 }
 
-/// A time in which a second key was out of force.
+/// A period in which a revocable key was invalid.
 #[derive(Debug, Clone)]
-pub struct Removed {
-    /// Its tenant.
+pub struct Revocation {
+    /// Number of the tenant.
     pub tenant: usize,
-    /// Since when.
+    /// When the key was revoked.
     pub from: Instant,
-    /// When it was given back; none if it wasn't.
+    /// When the key was restored, or none if it wasn't.
     pub until: Option<Instant>,
 }
 
-/// The keys in force, and when they weren't.
+/// Revocations of keys, and the store's disruptions that delay them.
 #[derive(Debug, Default)]
 pub struct Keys {
-    /// Times in which second keys were out of force.
-    pub removed: Vec<Removed>,
-    /// Times in which the store didn't serve a gateway, or none of them.
-    pub store_troubles: Vec<Trouble>,
+    /// Periods in which revocable keys were invalid.
+    pub revocations: Vec<Revocation>,
+    /// Periods in which the store didn't serve one gateway, or, without a number, any gateway.
+    pub store_disruptions: Vec<Disruption>,
 }
 
 impl Keys {
-    /// Takes a tenant's second key away, or gives it back.
+    /// Revokes a tenant's revocable key, or restores it.
     pub fn toggle(&mut self, tenant: usize, now: Instant) {
-        let mut removed = self.removed.iter_mut();
-        match removed.find(|r| r.tenant == tenant && r.until.is_none()) {
-            Some(removed) => removed.until = Some(now),
-            None => self.removed.push(Removed {
+        let mut revocations = self.revocations.iter_mut();
+        match revocations.find(|r| r.tenant == tenant && r.until.is_none()) {
+            Some(revocation) => revocation.until = Some(now),
+            None => self.revocations.push(Revocation {
                 tenant,
                 from: now,
                 until: None,
@@ -106,16 +106,16 @@
         }
     }
 
-    /// The tenants as a configuration has them.
+    /// Returns the tenants with their valid keys, as the configuration lists them.
     pub fn configured(&self) -> Vec<Value> {
         let is_removed = |tenant| {
-            let mut removed = self.removed.iter();
-            removed.any(|r| r.tenant == tenant && r.until.is_none())
+            let mut revocations = self.revocations.iter();
+            revocations.any(|r| r.tenant == tenant && r.until.is_none())
         };
         let tenant = |tenant| {
-            let mut keys = vec![Key::Own(tenant).text()];
+            let mut keys = vec![Key::Permanent(tenant).text()];
             if !is_removed(tenant) {
-                keys.push(Key::Second(tenant).text());
+                keys.push(Key::Revocable(tenant).text());
             }
             fixture::tenant(&tenant_name(tenant), &keys)
         };
@@ -124,13 +124,13 @@
         all
     }
 
-    /// Notes that the store serves a gateway, or all of them, or that it doesn't.
-    pub fn note_store(&mut self, gateway: Option<usize>, serves: bool, now: Instant) {
-        let troubles = self.store_troubles.iter_mut();
-        let mut open = troubles.filter(|t| t.gateway == gateway && t.until.is_none());
+    /// Records whether the store serves a gateway, or all gateways if `gateway` is none.
+    pub fn record_store(&mut self, gateway: Option<usize>, serves: bool, now: Instant) {
+        let disruptions = self.store_disruptions.iter_mut();
+        let mut open = disruptions.filter(|t| t.gateway == gateway && t.until.is_none());
         match (open.next(), serves) {
-            (Some(trouble), true) => trouble.until = Some(now),
-            (None, false) => self.store_troubles.push(Trouble {
+            (Some(disruption), true) => disruption.until = Some(now),
+            (None, false) => self.store_disruptions.push(Disruption {
                 gateway,
                 from: now,
                 until: None,
@@ -139,89 +139,99 @@
         }
     }
 
-    /// Whether a request was sent with a key that had been out of force for longer than the
-    /// bound, to a gateway in touch: by the store, or by peers that are.
-    fn is_too_late(&self, asked: &Asked, record: &Record) -> bool {
-        let (Key::Second(tenant), Some(sent)) = (asked.key, asked.way.sent) else {
+    /// Returns whether a request was sent after its key had been revoked for longer than the
+    /// bound, to a gateway that must know: one connected to the store, or to peers that are.
+    fn ran_after_revocation(&self, request: &ClientRequest, timeline: &Timeline) -> bool {
+        let (Key::Revocable(tenant), Some(sent)) = (request.key, request.delivery.sent) else {
             return false;
         };
-        let is_out = |r: &Removed| {
-            r.tenant == tenant && r.from + BOUND <= sent && r.until.is_none_or(|u| sent < u)
+        let was_revoked = |r: &Revocation| {
+            r.tenant == tenant
+                && r.from + REVOCATION_BOUND <= sent
+                && r.until.is_none_or(|u| sent < u)
         };
-        self.removed.iter().any(is_out) && self.is_in_touch(asked.way.gateway, sent, record)
+        self.revocations.iter().any(was_revoked)
+            && self.is_connected(request.delivery.gateway, sent, timeline)
     }
 
-    fn is_in_touch(&self, gateway: usize, at: Instant, record: &Record) -> bool {
-        let since = at.checked_sub(IN_TOUCH).unwrap_or(at);
-        let is_near = |t: &&Trouble| t.from <= at && t.until.is_none_or(|u| u >= since);
-        let store: Vec<&Trouble> = self.store_troubles.iter().filter(is_near).collect();
-        let processes = record.troubles.iter().filter(|t| t.gateway.is_some());
-        let processes: Vec<&Trouble> = processes.filter(is_near).collect();
-        let is_own = |t: &&&Trouble| t.gateway == Some(gateway);
+    fn is_connected(&self, gateway: usize, at: Instant, timeline: &Timeline) -> bool {
+        let since = at.checked_sub(CONNECTED_TIME).unwrap_or(at);
+        let is_near = |t: &&Disruption| t.from <= at && t.until.is_none_or(|u| u >= since);
+        let store: Vec<&Disruption> = self.store_disruptions.iter().filter(is_near).collect();
+        let processes = timeline.disruptions.iter().filter(|t| t.gateway.is_some());
+        let processes: Vec<&Disruption> = processes.filter(is_near).collect();
+        let is_own = |t: &&&Disruption| t.gateway == Some(gateway);
         if store.iter().any(|t| t.gateway.is_none()) || processes.iter().any(|t| is_own(&t)) {
             return false;
         }
-        // Cut off from the store alone, it hears from its peers, if these are well.
-        let others_are_well = processes.is_empty() && store.iter().all(|t| is_own(&t));
-        others_are_well || !store.iter().any(|t| is_own(&t))
+        // A gateway that only lost the store learns of the revocation from its peers, if these have
+        // no disruption.
+        let others_are_connected = processes.is_empty() && store.iter().all(|t| is_own(&t));
+        others_are_connected || !store.iter().any(|t| is_own(&t))
     }
 
-    /// Whether a request's key was taken away while it was under way, or just before.
-    pub fn changed_under(&self, asked: &Asked) -> bool {
-        let (Key::Second(tenant), Some(sent)) = (asked.key, asked.way.sent) else {
+    /// Returns whether a request's key was revoked while the request ran or shortly before.
+    pub fn is_revoked_during(&self, request: &ClientRequest) -> bool {
+        let (Key::Revocable(tenant), Some(sent)) = (request.key, request.delivery.sent) else {
             return false;
         };
-        let since = sent.checked_sub(IN_TOUCH).unwrap_or(sent);
-        let near = |r: &&Removed| r.tenant == tenant && r.from <= asked.way.ended;
-        let mut removed = self.removed.iter().filter(near);
-        removed.any(|r| r.until.is_none_or(|u| u >= since))
+        let since = sent.checked_sub(CONNECTED_TIME).unwrap_or(sent);
+        let overlaps = |r: &&Revocation| r.tenant == tenant && r.from <= request.delivery.ended;
+        let mut revocations = self.revocations.iter().filter(overlaps);
+        revocations.any(|r| r.until.is_none_or(|u| u >= since))
     }
 }
 
-/// Counts of broken promises about keys.
+/// Numbers of violated guarantees about keys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct KeyFaults {
-    /// Runs under another tenant than the key's, or that were shown the key.
+pub struct KeyViolations {
+    /// Runs whose worker got another tenant than the key's, or got the key itself.
     pub told_wrongly: usize,
-    /// Requests that ran though their key had been out of force for longer than the bound.
+    /// Requests that ran though their key had been revoked for longer than the bound.
     pub ran_without_key: usize,
-    /// Requests with a key that was always in force and that were refused as if it weren't.
+    /// Requests that were refused as unauthorized though their key was always valid.
     pub denied: usize,
 }
 
-/// Judges requests with their runs, these in the order of their requests' ids.
-pub fn judge_keys(asked: &[Asked], runs: &[&Ran], keys: &Keys, record: &Record) -> KeyFaults {
-    let mut out = KeyFaults::default();
-    for asked in asked {
-        let own = crate::judge::own(runs, &asked.id);
-        let tenant = asked.key.tenant();
-        let is_wrong = |r: &&&Ran| r.shows_key || r.tenant.as_deref() != Some(&tenant);
-        out.told_wrongly += own.iter().filter(is_wrong).count();
-        if !own.is_empty() && keys.is_too_late(asked, record) {
-            println!("ran without its key: {asked:?}");
+/// Checks requests against their runs. `runs` must be sorted by request id.
+pub fn check_keys(
+    requests: &[ClientRequest],
+    runs: &[&WorkerRun],
+    keys: &Keys,
+    timeline: &Timeline,
+) -> KeyViolations {
+    let mut out = KeyViolations::default();
+    for request in requests {
+        let own_runs = crate::checker::runs_of(runs, &request.id);
+        let tenant = request.key.tenant();
+        let is_wrong = |r: &&&WorkerRun| r.shows_key || r.tenant.as_deref() != Some(&tenant);
+        out.told_wrongly += own_runs.iter().filter(is_wrong).count();
+        if !own_runs.is_empty() && keys.ran_after_revocation(request, timeline) {
+            println!("ran with a revoked key: {request:?}");
             out.ran_without_key += 1;
         }
-        let is_denied = matches!(asked.end, crate::judge::End::Whole(401, _));
-        out.denied += usize::from(is_denied && !matches!(asked.key, Key::Second(_)));
+        let is_denied = matches!(request.end, crate::checker::RequestEnd::Whole(401, _));
+        out.denied += usize::from(is_denied && !matches!(request.key, Key::Revocable(_)));
     }
     out
 }
 
-/// Counts of broken promises about reports of usage.
+/// Numbers of violated guarantees about usage reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct UsageFaults {
-    /// Windows with two reports that differ.
+pub struct UsageViolations {
+    /// Additional reports of a window that differ from the first.
     pub reported_twice: usize,
-    /// Reports under a token that is lower than one before, or that two holders used.
+    /// Reports whose fencing token is lower than the one before, or whose holder changed without
+    /// a new token or within [`HOLDER_GAP`].
     pub badly_fenced: usize,
-    /// Whether the usage after the last fault is off.
+    /// 1 if the usage reported for the last phase is wrong, else 0.
     pub usage_off: usize,
 }
 
-/// Judges the reports that reached the platform; `last` is how many requests of the last
-/// tenant ran.
-pub fn judge_usage(calls: &[CloudCall], last: usize) -> UsageFaults {
-    let mut out = UsageFaults::default();
+/// Checks the reports that reached the platform. `last` is the number of requests of
+/// [`LAST_TENANT`] that ran.
+pub fn check_usage(calls: &[CloudCall], last: usize) -> UsageViolations {
+    let mut out = UsageViolations::default();
     let mut bodies: Vec<(u64, &str)> = calls
         .iter()
         .map(|c| (c.window(), c.text.as_str()))
@@ -237,17 +247,17 @@
         falls || (is_other && (is_early || pair[1].token == pair[0].token))
     };
     out.badly_fenced = calls.windows(2).filter(is_bad).count();
-    let reported = reported_last(calls) as f64;
+    let reported = reported_requests(calls) as f64;
     let off = (reported - last as f64).abs();
-    if off > last as f64 * TOLERANCE {
+    if off > last as f64 * USAGE_TOLERANCE {
         println!("{reported} of {last} requests of the last tenant were reported");
         out.usage_off = 1;
     }
     out
 }
 
-/// Requests of the last tenant that were reported, each window once.
-pub fn reported_last(calls: &[CloudCall]) -> u64 {
+/// Returns the reported number of requests of [`LAST_TENANT`], counting each window once.
+pub fn reported_requests(calls: &[CloudCall]) -> u64 {
     let mut windows: Vec<(u64, u64)> = calls
         .iter()
         .map(|c| (c.window(), c.count(LAST_TENANT)))
