--- a/crates/gateway/tests/input.rs
+++ b/crates/gateway/tests/bad_requests.rs
@@ -13,8 +13,8 @@
 }
 
 #[tokio::test]
-async fn wrong_requests_get_a_clear_answer_and_reach_no_worker() {
-    let (bed, workers) = start(1).await;
+async fn invalid_requests_get_a_specific_error_and_reach_no_worker() {
+    let (gateway, workers) = start(1).await;
     let big = "x".repeat(70_000);
     let no_id = "GET /safe/ HTTP/1.1\r\nhost: a.example\r\n\r\n".to_owned();
     let cases = [
@@ -49,7 +49,7 @@
         (request("POST", "/safe/", "id", "", &big), 413, "too_large"),
     ];
     for (text, expected, reason) in cases {
-        let res = exchange(bed.callers, &text).await;
+        let res = exchange(gateway.callers, &text).await;
         assert_eq!(status(&res), expected, "{reason}: {res}");
         assert_eq!(error(&res), reason);
     }
@@ -58,21 +58,21 @@
 
 #[tokio::test]
 async fn malformed_heads_are_refused_and_close_the_connection() {
-    let (bed, workers) = start(1).await;
-    let start = "POST /unsafe/ HTTP/1.1\r\nhost: a.example\r\nattempt-id: i\r\n";
-    let long = format!("x-long: {}\r\n", "y".repeat(40_000));
+    let (gateway, workers) = start(1).await;
+    let prefix = "POST /unsafe/ HTTP/1.1\r\nhost: a.example\r\nattempt-id: i\r\n";
+    let long_header = format!("x-long: {}\r\n", "y".repeat(40_000));
     let heads = [
-        format!("{start}content-length: 1\r\ncontent-length: 2\r\n\r\nx"),
-        format!("{start}content-length: +1\r\n\r\nx"),
-        format!("{start}content-length: 1, 2\r\n\r\nx"),
-        format!("{start}x-fold: a\r\n b\r\ncontent-length: 1\r\n\r\nx"),
-        format!("{start}content-length : 1\r\n\r\nx"),
-        format!("{start}transfer-encoding: gzip\r\n\r\nx"),
-        format!("{start}transfer-encoding: chunked, identity\r\n\r\n0\r\n\r\n"),
-        format!("{start}{long}content-length: 1\r\n\r\nx"),
+        format!("{prefix}content-length: 1\r\ncontent-length: 2\r\n\r\nx"),
+        format!("{prefix}content-length: +1\r\n\r\nx"),
+        format!("{prefix}content-length: 1, 2\r\n\r\nx"),
+        format!("{prefix}x-fold: a\r\n b\r\ncontent-length: 1\r\n\r\nx"),
+        format!("{prefix}content-length : 1\r\n\r\nx"),
+        format!("{prefix}transfer-encoding: gzip\r\n\r\nx"),
+        format!("{prefix}transfer-encoding: chunked, identity\r\n\r\n0\r\n\r\n"),
+        format!("{prefix}{long_header}content-length: 1\r\n\r\nx"),
     ];
     for head in heads {
-        let mut client = Client::connect(bed.callers).await;
+        let mut client = Client::connect(gateway.callers).await;
         client.send(&head).await;
         let (text, _) = client.read_to_end().await;
         let code = status(&text);
@@ -82,23 +82,23 @@
 }
 
 #[tokio::test]
-async fn a_request_hidden_in_another_never_runs() {
-    let (bed, workers) = start(1).await;
-    let hidden = request("POST", "/unsafe/", "hidden", "", "x");
+async fn a_smuggled_request_never_runs() {
+    let (gateway, workers) = start(1).await;
+    let smuggled = request("POST", "/unsafe/", "hidden", "", "x");
     let heads = [
         "content-length: 5\r\ntransfer-encoding: chunked\r\n",
         "transfer-encoding: chunked\r\ncontent-length: 5\r\n",
     ];
     for (n, lengths) in heads.iter().enumerate() {
         let text = format!(
-            "POST /unsafe/ HTTP/1.1\r\nhost: a.example\r\nattempt-id: outer-{n}\r\n{lengths}\r\n0\r\n\r\n{hidden}"
+            "POST /unsafe/ HTTP/1.1\r\nhost: a.example\r\nattempt-id: outer-{n}\r\n{lengths}\r\n0\r\n\r\n{smuggled}"
         );
-        let mut client = Client::connect(bed.callers).await;
+        let mut client = Client::connect(gateway.callers).await;
         client.send(&text).await;
         client.read_to_end().await;
     }
-    // What follows on the same worker comes after anything hidden would have.
-    exchange(bed.callers, &request("GET", "/safe/", "last", "", "")).await;
+    // What follows on the same worker comes after anything smuggled would have.
+    exchange(gateway.callers, &request("GET", "/safe/", "last", "", "")).await;
     let seen = workers[0].seen();
     assert!(
         seen.iter()
@@ -112,11 +112,11 @@
 }
 
 #[tokio::test]
-async fn bodies_in_chunks_arrive_whole() {
-    let (bed, workers) = start(1).await;
+async fn chunked_bodies_are_forwarded_completely() {
+    let (gateway, workers) = start(1).await;
     let text = "POST /unsafe/ HTTP/1.1\r\nhost: A.Example:80\r\nattempt-id: i\r\n\
                 transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n";
-    assert_eq!(status(&exchange(bed.callers, text).await), 200);
+    assert_eq!(status(&exchange(gateway.callers, text).await), 200);
     let seen = workers[0].seen().remove(0);
     assert_eq!(seen.body, b"abcdefg");
     assert_eq!(seen.header("content-length"), Some("7"));
--- a/crates/gateway/tests/cache.rs
+++ b/crates/gateway/tests/cache.rs
@@ -3,7 +3,7 @@
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
 
-use fixtures::{gateway_with, learn_speed, runner};
+use fixtures::{gateway_with, runner, train_latency_model};
 use gateway::choose::{Choice, Plan, Requirements, choose};
 use gateway::fleet::cache::CacheEstimate;
 use gateway::fleet::latency::Task;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_part_is_of_use_only_behind_the_parts_before_it() {
+fn a_part_is_cached_only_if_all_parts_before_it_are() {
     let mut cache = CacheEstimate::default();
     let now = Instant::now();
     assert!(cache.record(part(2, 300), 10_000, now));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_least_recently_used_parts_yield_and_memory_is_bounded() {
+fn the_least_recently_used_parts_are_evicted_at_the_size_limit() {
     let sends = proptest::collection::vec((0u64..30, 1u32..400), 1..200);
     runner()
         .run(&sends, |sends| {
@@ -58,14 +58,14 @@
 }
 
 /// Where a prompt goes, and how many of its tokens are read there.
-fn sent_to(gateway: &Gateway, parts: &[PromptPart]) -> Option<(String, u32)> {
-    plan_of(gateway, parts).map(|plan| (plan.instance, plan.inputs.uncached))
+fn choose_instance(gateway: &Gateway, parts: &[PromptPart]) -> Option<(String, u32)> {
+    plan_for(gateway, parts).map(|plan| (plan.instance, plan.inputs.uncached))
 }
 
 /// The plan for a prompt of shared and own tokens, against a latency target of 0.8 s.
-fn plan_of(gateway: &Gateway, parts: &[PromptPart]) -> Option<Box<Plan>> {
+fn plan_for(gateway: &Gateway, parts: &[PromptPart]) -> Option<Box<Plan>> {
     let service = gateway.fleet().intern_service("s");
-    let need = Requirements {
+    let requirements = Requirements {
         service,
         parts,
         prompt_tokens: parts.iter().map(|p| p.tokens).sum(),
@@ -75,14 +75,14 @@
         is_isolated: false,
         tried: &[],
     };
-    match choose(gateway, &need) {
+    match choose(gateway, &requirements) {
         Choice::Send(plan) => Some(plan),
         Choice::Busy(..) | Choice::NoUpstream => None,
     }
 }
 
 /// Eight readers and four generators that have just started.
-fn fresh_fleet() -> Arc<Gateway> {
+fn gateway_with_new_engines() -> Arc<Gateway> {
     let gateway = gateway_with(&[]);
     gateway.fleet().assume_empty_caches();
     for n in 0..12u8 {
@@ -90,11 +90,11 @@
         let instance = fixtures::instance(n, stage);
         gateway.fleet().merge(instance, &net::Meter::default());
     }
-    learn_speed(&gateway, Task::Prefill, 37.0);
+    train_latency_model(&gateway, Task::Prefill, 37.0);
     gateway
 }
 
-fn place(gateway: &Arc<Gateway>, id: &str, tokens: u32) -> LoadGuard {
+fn add_load(gateway: &Arc<Gateway>, id: &str, tokens: u32) -> LoadGuard {
     let key = gateway.fleet().find(id).unwrap();
     gateway.add_load(key, tokens, false)
 }
@@ -102,82 +102,88 @@
 /// Histories of 13,300 shared and 3,720 own tokens, 45 of them over eight readers: one
 /// reader often has a queue while most have none.
 #[test]
-fn a_prompt_whose_home_has_a_queue_is_read_at_its_second_home() {
-    let gateway = fresh_fleet();
+fn a_prompt_whose_home_has_a_queue_is_prefilled_at_its_second_home() {
+    let gateway = gateway_with_new_engines();
     let prompt = [part(7, 13_300), part(1 << 40, 3_720)];
-    let (home, uncached) = sent_to(&gateway, &prompt).unwrap();
+    let (home, uncached) = choose_instance(&gateway, &prompt).unwrap();
     assert_eq!(uncached, 17_020, "nothing is cached at the start");
     let key = gateway.fleet().find(&home).unwrap();
     gateway.fleet().record_parts(key, &prompt, Instant::now());
-    assert_eq!(sent_to(&gateway, &prompt), Some((home.clone(), 3_720)));
+    assert_eq!(
+        choose_instance(&gateway, &prompt),
+        Some((home.clone(), 3_720))
+    );
     // A short queue is waited for: the shared part would have to be read anew.
-    let short = place(&gateway, &home, 300);
-    assert_eq!(sent_to(&gateway, &prompt), Some((home.clone(), 3_720)));
-    let long = place(&gateway, &home, 12_000);
+    let short = add_load(&gateway, &home, 300);
+    assert_eq!(
+        choose_instance(&gateway, &prompt),
+        Some((home.clone(), 3_720))
+    );
+    let long = add_load(&gateway, &home, 12_000);
     // It fetches the shared part from the home, in some 10 ms in place of 360.
-    let (second, uncached) = sent_to(&gateway, &prompt).unwrap();
+    let (second, uncached) = choose_instance(&gateway, &prompt).unwrap();
     assert_ne!(second, home);
     assert_eq!(uncached, 3_720);
-    let from = plan_of(&gateway, &prompt).unwrap().fetch_from;
+    let from = plan_for(&gateway, &prompt).unwrap().fetch_from;
     let home_addr = gateway.fleet().get(key).unwrap().instance.addr;
     assert_eq!(from, Some(home_addr));
     drop((short, long));
-    assert_eq!(sent_to(&gateway, &prompt), Some((home, 3_720)));
+    assert_eq!(choose_instance(&gateway, &prompt), Some((home, 3_720)));
 }
 
 /// Twenty generators hold all their slots: who is read sooner waits for a slot all the
 /// same.
 #[test]
-fn a_second_home_is_left_alone_while_generators_are_what_prompts_wait_for() {
-    let gateway = fresh_fleet();
+fn the_second_home_is_not_used_while_generators_are_the_bottleneck() {
+    let gateway = gateway_with_new_engines();
     let prompt = [part(7, 3_000), part(1 << 40, 3_000)];
-    let (home, _) = sent_to(&gateway, &prompt).unwrap();
+    let (home, _) = choose_instance(&gateway, &prompt).unwrap();
     let key = gateway.fleet().find(&home).unwrap();
     gateway.fleet().record_parts(key, &prompt, Instant::now());
     let mut busy = Vec::new();
     for n in 8..12 {
         for _ in 0..48 {
-            let mut placed = place(&gateway, &format!("i-{n}"), 0);
-            placed.first_byte_received();
-            busy.push(placed);
+            let mut load = add_load(&gateway, &format!("i-{n}"), 0);
+            load.first_byte_received();
+            busy.push(load);
         }
     }
     // 60 ms of queue, against more than that until a slot is free.
-    let _queue = place(&gateway, &home, 2_200);
-    assert_eq!(sent_to(&gateway, &prompt).map(|s| s.0), Some(home));
+    let _queue = add_load(&gateway, &home, 2_200);
+    assert_eq!(choose_instance(&gateway, &prompt).map(|s| s.0), Some(home));
 }
 
 /// The largest tenth of a class: its own reading takes longer than the target.
 #[test]
-fn a_prompt_that_is_late_by_its_own_size_is_read_where_it_need_not_wait() {
-    let gateway = fresh_fleet();
+fn a_prompt_too_large_for_its_target_is_prefilled_where_there_is_no_queue() {
+    let gateway = gateway_with_new_engines();
     let prompt = [part(7, 1_000), part(1 << 40, 50_000)];
-    let (home, _) = sent_to(&gateway, &prompt).unwrap();
+    let (home, _) = choose_instance(&gateway, &prompt).unwrap();
     let queues: Vec<_> = (0..8)
-        .map(|n| place(&gateway, &format!("i-{n}"), 10_000))
+        .map(|n| add_load(&gateway, &format!("i-{n}"), 10_000))
         .collect();
     assert_eq!(
-        sent_to(&gateway, &prompt),
+        choose_instance(&gateway, &prompt),
         None,
         "{home} and the others have queues"
     );
     drop(queues);
-    assert!(sent_to(&gateway, &prompt).is_some());
+    assert!(choose_instance(&gateway, &prompt).is_some());
 }
 
 #[test]
-fn peers_tell_of_parts_and_a_new_start_or_stage_holds_none() {
-    let (a, b) = (fresh_fleet(), fresh_fleet());
+fn placements_are_merged_and_a_new_start_or_stage_clears_the_cache() {
+    let (a, b) = (gateway_with_new_engines(), gateway_with_new_engines());
     let prompt = [part(7, 900), part(1 << 40, 100)];
-    let (home, _) = sent_to(&a, &prompt).unwrap();
+    let (home, _) = choose_instance(&a, &prompt).unwrap();
     let now = Instant::now();
     let key = a.fleet().find(&home).unwrap();
     a.fleet().record_parts(key, &prompt, now);
-    let told: Vec<Placement> = a.fleet().recent_placements(Duration::from_secs(1), now);
-    assert_eq!(told.len(), 1);
-    b.fleet().merge_placements(&told, false, now);
-    assert_eq!(sent_to(&b, &prompt), Some((home.clone(), 100)));
-    // What was told long ago is told no more.
+    let placements: Vec<Placement> = a.fleet().recent_placements(Duration::from_secs(1), now);
+    assert_eq!(placements.len(), 1);
+    b.fleet().merge_placements(&placements, false, now);
+    assert_eq!(choose_instance(&b, &prompt), Some((home.clone(), 100)));
+    // What was placements long ago is placements no more.
     let later = now + Duration::from_secs(2);
     assert!(
         a.fleet()
@@ -192,13 +198,13 @@
         };
         b.fleet().merge(instance, &net::Meter::default());
     }
-    assert_eq!(sent_to(&b, &prompt), Some((home, 1000)));
+    assert_eq!(choose_instance(&b, &prompt), Some((home, 1000)));
 }
 
 /// A process that starts anew in a running system takes homes to hold their parts.
 #[test]
-fn engines_from_before_this_process_are_taken_to_hold_what_is_at_home_there() {
+fn engines_started_before_this_process_are_assumed_to_cache_their_home_parts() {
     let gateway = gateway_with(&[Stage::Prefill, Stage::Prefill, Stage::Decode]);
     let prompt = [part(7, 900), part(1 << 40, 100)];
-    assert_eq!(sent_to(&gateway, &prompt).map(|s| s.1), Some(100));
+    assert_eq!(choose_instance(&gateway, &prompt).map(|s| s.1), Some(100));
 }
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choose.rs
@@ -3,7 +3,7 @@
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
 
-use fixtures::{gateway_with, instance, learn_speed, runner};
+use fixtures::{gateway_with, instance, runner, train_latency_model};
 use gateway::choose::{Choice, PREFILL_WEIGHT, Requirements, choose};
 use gateway::fleet::latency::{Backlog, LatencyModel, Slowdown, Task};
 use gateway::fleet::{Fleet, MergeOutcome};
@@ -14,32 +14,37 @@
 use std::time::Duration;
 
 #[test]
-fn the_speed_of_engines_is_learned() {
-    let mut speed = LatencyModel::for_task(Task::Generate);
-    let truth = |w: Backlog| 12.0 + 7.0 * w.prompts + 0.002 * w.tokens + 40.0 * w.slot_turnovers;
+fn the_latency_model_learns_the_speed_of_engines() {
+    let mut model = LatencyModel::for_task(Task::Generate);
+    let true_ms = |b: Backlog| 12.0 + 7.0 * b.prompts + 0.002 * b.tokens + 40.0 * b.slot_turnovers;
     for n in 0..2000u32 {
-        let work = Backlog {
+        let backlog = Backlog {
             prompts: f64::from(n % 7),
             tokens: f64::from((n * 997) % 30_000),
             slot_turnovers: f64::from(n % 3) / 2.0,
         };
         // Every fifth takes a little longer, every fifth a little less.
-        let off = [0.0, 3.0, 0.0, -3.0, 0.0][(n % 5) as usize];
-        speed.add_sample(work, truth(work) + off);
+        let noise = [0.0, 3.0, 0.0, -3.0, 0.0][(n % 5) as usize];
+        model.add_sample(backlog, true_ms(backlog) + noise);
     }
-    for (prompts, tokens, turns) in [(0.0, 500.0, 0.0), (2.0, 9000.0, 1.0), (6.0, 25_000.0, 0.5)] {
-        let work = Backlog {
+    for (prompts, tokens, slot_turnovers) in
+        [(0.0, 500.0, 0.0), (2.0, 9000.0, 1.0), (6.0, 25_000.0, 0.5)]
+    {
+        let backlog = Backlog {
             prompts,
             tokens,
-            slot_turnovers: turns,
+            slot_turnovers,
         };
-        let estimate = speed.estimate(work);
-        assert!((estimate - truth(work)).abs() < 2.0, "{work:?}: {estimate}");
+        let estimate = model.estimate(backlog);
+        assert!(
+            (estimate - true_ms(backlog)).abs() < 2.0,
+            "{backlog:?}: {estimate}"
+        );
     }
 }
 
 #[test]
-fn a_slow_upstream_shows_and_one_late_answer_does_not() {
+fn a_slow_upstream_is_detected_and_a_single_late_answer_is_not_enough() {
     let mut slowdown = Slowdown::default();
     slowdown.add_sample(5000.0, 20.0);
     assert!(slowdown.factor() < 1.5, "{}", slowdown.factor());
@@ -54,7 +59,7 @@
 }
 
 #[test]
-fn upstreams_are_found_as_by_looking_at_all() {
+fn the_fleet_index_finds_the_same_upstreams_as_a_linear_scan() {
     let steps = proptest::collection::vec((0u8..20, any::<bool>()), 1..80);
     runner()
         .run(&steps, |steps| {
@@ -82,7 +87,7 @@
 }
 
 #[test]
-fn a_key_of_a_removed_upstream_finds_nothing() {
+fn the_key_of_a_removed_upstream_finds_nothing() {
     let mut fleet = Fleet::default();
     let meter = Meter::default();
     let MergeOutcome::Added(key) = fleet.merge(instance(1, Stage::Decode), &meter) else {
@@ -97,11 +102,11 @@
     assert_eq!(fleet.get(next).unwrap().instance.id, "i-2");
 }
 
-fn chosen(gateway: &Gateway, part: u64) -> Option<String> {
-    chosen_if(gateway, part, false)
+fn choose_instance(gateway: &Gateway, part: u64) -> Option<String> {
+    choose_instance_for(gateway, part, false)
 }
 
-fn chosen_if(gateway: &Gateway, part: u64, is_rest: bool) -> Option<String> {
+fn choose_instance_for(gateway: &Gateway, part: u64, is_resumed: bool) -> Option<String> {
     let parts = [
         PromptPart {
             id: 1,
@@ -117,17 +122,17 @@
         },
     ];
     let service = gateway.fleet().intern_service("s");
-    let need = Requirements {
+    let requirements = Requirements {
         service,
         parts: &parts,
         prompt_tokens: 9100,
         max_output_tokens: 64,
         latency_target: Duration::from_millis(120),
-        is_resumed: is_rest,
+        is_resumed,
         is_isolated: false,
         tried: &[],
     };
-    match choose(gateway, &need) {
+    match choose(gateway, &requirements) {
         Choice::Send(plan) => Some(plan.instance),
         Choice::Busy(..) | Choice::NoUpstream => None,
     }
@@ -140,23 +145,27 @@
         Prefill, Prefill, Decode, Decode, Decode, Decode, Decode, Decode, Decode,
     ];
     let (a, b) = (gateway_with(&stages), gateway_with(&stages));
-    let homes: Vec<_> = (2..1002).map(|part| chosen(&a, part).unwrap()).collect();
-    let others: Vec<_> = (2..1002).map(|part| chosen(&b, part).unwrap()).collect();
+    let homes: Vec<_> = (2..1002)
+        .map(|part| choose_instance(&a, part).unwrap())
+        .collect();
+    let others: Vec<_> = (2..1002)
+        .map(|part| choose_instance(&b, part).unwrap())
+        .collect();
     assert_eq!(homes, others);
     // Two that only read, by their weight, and seven others share 1,000 parts.
     let weights = 2.0 * PREFILL_WEIGHT + 7.0;
-    let count = |id: &str| homes.iter().filter(|h| *h == id).count();
+    let homes_at = |id: &str| homes.iter().filter(|h| *h == id).count();
     for n in 0..9 {
         let weight = if n < 2 { PREFILL_WEIGHT } else { 1.0 };
         let expected = 1000.0 * weight / weights;
-        let share = count(&format!("i-{n}")) as f64 / expected;
+        let share = homes_at(&format!("i-{n}")) as f64 / expected;
         assert!((0.7..1.3).contains(&share), "i-{n}: {share}");
     }
     let mut leaving = instance(4, Decode);
     leaving.is_draining = true;
     a.fleet().merge(leaving, &Meter::default());
     for (part, before) in (2..1002).zip(&homes) {
-        let after = chosen(&a, part).unwrap();
+        let after = choose_instance(&a, part).unwrap();
         assert!(after != "i-4");
         assert!(
             before == "i-4" || *before == after,
@@ -166,38 +175,38 @@
 }
 
 #[test]
-fn a_prompt_whose_home_has_too_much_to_do_is_refused() {
+fn a_prompt_whose_home_is_overloaded_is_refused() {
     let gateway = gateway_with(&[Stage::Decode]);
-    learn_speed(&gateway, Task::Generate, 300.0);
-    assert!(chosen(&gateway, 7).is_some());
+    train_latency_model(&gateway, Task::Generate, 300.0);
+    assert!(choose_instance(&gateway, 7).is_some());
     let key = gateway.fleet().find("i-0").unwrap();
-    let placed: Vec<_> = (0..8).map(|_| gateway.add_load(key, 5000, false)).collect();
-    assert!(chosen(&gateway, 7).is_none());
+    let loads: Vec<_> = (0..8).map(|_| gateway.add_load(key, 5000, false)).collect();
+    assert!(choose_instance(&gateway, 7).is_none());
     // The rest of a broken stream is taken up to a larger bound.
-    assert!(chosen_if(&gateway, 7, true).is_some());
+    assert!(choose_instance_for(&gateway, 7, true).is_some());
     let more: Vec<_> = (0..40)
         .map(|_| gateway.add_load(key, 5000, false))
         .collect();
-    assert!(chosen_if(&gateway, 7, true).is_none());
+    assert!(choose_instance_for(&gateway, 7, true).is_none());
     drop(more);
-    drop(placed);
-    assert!(chosen(&gateway, 7).is_some());
+    drop(loads);
+    assert!(choose_instance(&gateway, 7).is_some());
 }
 
 #[test]
-fn a_prompt_whose_home_has_no_slot_left_is_refused() {
+fn a_prompt_whose_home_has_no_free_slot_is_refused() {
     let gateway = gateway_with(&[Stage::Decode]);
     let key = gateway.fleet().find("i-0").unwrap();
     // Seven long answers and one short one hold all slots, and read nothing.
-    let mut placed: Vec<_> = (0..8).map(|n| gateway.add_load(key, 0, n > 0)).collect();
-    for placed in &mut placed {
-        placed.first_byte_received();
+    let mut loads: Vec<_> = (0..8).map(|n| gateway.add_load(key, 0, n > 0)).collect();
+    for load in &mut loads {
+        load.first_byte_received();
     }
-    let waits = gateway.fleet().get(key).unwrap().backlog(0);
-    assert!((waits.slot_turnovers - 1.0).abs() < 1e-9, "{waits:?}");
+    let backlog = gateway.fleet().get(key).unwrap().backlog(0);
+    assert!((backlog.slot_turnovers - 1.0).abs() < 1e-9, "{backlog:?}");
     let more: Vec<_> = (0..2).map(|_| gateway.add_load(key, 0, false)).collect();
-    assert!(chosen(&gateway, 7).is_none());
+    assert!(choose_instance(&gateway, 7).is_none());
     drop(more);
-    drop(placed);
-    assert!(chosen(&gateway, 7).is_some());
+    drop(loads);
+    assert!(choose_instance(&gateway, 7).is_some());
 }
--- a/crates/gateway/tests/common/crashing.rs
+++ b/crates/gateway/tests/common/crashing.rs
@@ -1,78 +1,78 @@
 //! Several hosts before one store, and workers that some requests crash.
 
-use super::{Bed, address, host, request, start_on};
+use super::{TestGateway, address, host, request, start_on};
 use standin::{Act, Crash, Store, Worker, fixture};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Text in the body of requests that crash the workers.
-pub const DEADLY: &str = "deadly";
+pub const CRASH_MARKER: &str = "deadly";
 /// Time after the third end from which on few more sends are allowed, and a bit more.
-pub const SETTLED: Duration = Duration::from_millis(3200);
+pub const DETECTION_TIME: Duration = Duration::from_millis(3200);
 /// How long a worker is away after a crash.
-const AWAY: Duration = Duration::from_millis(300);
+const RESTART_TIME: Duration = Duration::from_millis(300);
 /// Start of the first workers, by their clocks.
-const BORN: u64 = 1_700_000_000_000;
+const FIRST_START_MS: u64 = 1_700_000_000_000;
 /// Port on which hosts hear each other.
-const PEERS: u16 = 7002;
+const PEER_PORT: u16 = 7002;
 
-/// Hosts before one store, with workers that crash on [`DEADLY`].
+/// Hosts before one store, with workers that crash on [`CRASH_MARKER`].
 pub struct System {
-    pub hosts: Vec<Bed>,
+    pub hosts: Vec<TestGateway>,
     pub store: Arc<Store>,
     /// Engines that only read prompts. They don't crash.
-    pub readers: Vec<Worker>,
+    pub prefill_engines: Vec<Worker>,
     workers: Vec<Worker>,
 }
 
 impl System {
     /// Starts hosts and plain workers, whose answers take some time.
     pub async fn start(hosts: usize, workers: usize) -> Self {
-        let mut system = Self::bare();
+        let mut system = Self::empty();
         for n in 0..workers {
             let row = fixture::worker("plain", system.store.addr, "ready", None);
-            let usual = Act::After(Duration::from_millis(30), Box::new(Act::Echo));
-            system.add_worker(&format!("i-{n}"), row, usual).await;
+            let default = Act::After(Duration::from_millis(30), Box::new(Act::Echo));
+            system.add_worker(&format!("i-{n}"), row, default).await;
         }
         for _ in 0..hosts {
-            system.add_host(PEERS).await;
+            system.add_host(PEER_PORT).await;
         }
         system
     }
 
     /// Starts hosts, engines that only read prompts and engines that generate.
-    pub async fn start_engines(hosts: usize, readers: usize, generators: usize) -> Self {
-        let mut system = Self::bare();
-        for n in 0..readers {
+    pub async fn start_engines(hosts: usize, prefill_engines: usize, generators: usize) -> Self {
+        let mut system = Self::empty();
+        for n in 0..prefill_engines {
             let id = format!("r-{n}");
             let addr = SocketAddr::new(IpAddr::V4(address()), 7100);
-            let reader = Worker::start(addr, &id).await.unwrap();
-            reader.usually(Act::Prefilled(format!("handle-{n}")));
+            let engine = Worker::start(addr, &id).await.unwrap();
+            engine.usually(Act::Prefilled(format!("handle-{n}")));
             let row = fixture::worker("llm", addr, "ready", Some("prefill"));
             system.store.put("servers", &id, &row);
-            system.readers.push(reader);
+            system.prefill_engines.push(engine);
         }
         for n in 0..generators {
             let row = fixture::worker("llm", system.store.addr, "ready", Some("decode"));
-            let usual = Act::Events(1..=2);
-            system.add_worker(&format!("i-{n}"), row, usual).await;
+            let default = Act::Events(1..=2);
+            system.add_worker(&format!("i-{n}"), row, default).await;
         }
         for _ in 0..hosts {
-            system.add_host(PEERS).await;
+            system.add_host(PEER_PORT).await;
         }
         system
     }
 
     /// A system without hosts and workers yet.
-    pub fn bare() -> Self {
+    pub fn empty() -> Self {
         let ip = address();
         let store = Arc::new(Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap());
         store.put("op", "config", &super::config(1, &super::routes()));
         Self {
             hosts: Vec::new(),
             store,
-            readers: Vec::new(),
+            prefill_engines: Vec::new(),
             workers: Vec::new(),
         }
     }
@@ -86,71 +86,71 @@
             peer_port,
             ..host(ip, self.store.addr)
         };
-        let bed = start_on(settings, own);
-        bed.wait_ready(200).await;
-        self.hosts.push(bed);
+        let gateway = start_on(settings, own);
+        gateway.wait_ready(200).await;
+        self.hosts.push(gateway);
     }
 
     /// Starts a worker with a row, but for its address and start.
-    async fn add_worker(&mut self, id: &str, row: serde_json::Value, usual: Act) {
+    async fn add_worker(&mut self, id: &str, row: serde_json::Value, default: Act) {
         let addr = SocketAddr::new(IpAddr::V4(address()), 7100);
-        let worker = Worker::start_since(addr, id, BORN).await.unwrap();
+        let worker = Worker::start_since(addr, id, FIRST_START_MS).await.unwrap();
         let (store, id) = (self.store.clone(), id.to_owned());
-        let register = move |born: u64| {
+        let register = move |start_ms: u64| {
             let mut row = row.clone();
             row["Address"] = addr.to_string().into();
-            row["born"] = born.into();
+            row["born"] = start_ms.into();
             store.put("servers", &id, &row);
         };
-        register(BORN);
-        worker.usually(usual);
+        register(FIRST_START_MS);
+        worker.usually(default);
         worker.crash_on(Some(Crash {
-            on: DEADLY.into(),
-            away: AWAY,
+            on: CRASH_MARKER.into(),
+            away: RESTART_TIME,
             on_start: Box::new(register),
         }));
         self.workers.push(worker);
     }
 
     /// Registers all workers as if they had started again, for the time with this number.
-    pub fn register_anew(&self, time: u64) {
+    pub fn register_restarted(&self, restart: u64) {
         for worker in &self.workers {
             let mut row = fixture::worker("plain", worker.addr, "ready", None);
             let id = worker.id();
-            row["born"] = (BORN + 1_000_000 * time).into();
+            row["born"] = (FIRST_START_MS + 1_000_000 * restart).into();
             self.store.put("servers", id, &row);
         }
     }
 
     /// Writes the row of an end under a request, as another host does.
-    pub fn put_end(&self, path: &str, body: &str, upstream: u32) {
+    pub fn put_crash_row(&self, path: &str, body: &str, upstream: u32) {
         let parts = ["POST", fixture::HOST, path, "", body];
-        let work = resilience::Fingerprint::of(parts.map(str::as_bytes));
-        let key = format!("{work}/end/{upstream:08x}");
+        let fingerprint = resilience::Fingerprint::of(parts.map(str::as_bytes));
+        let key = format!("{fingerprint}/end/{upstream:08x}");
         let row = serde_json::json!({"host": "edge-other", "at_ms": 0});
         self.store.put("crashes", &key, &row);
     }
 
     /// What all workers do with requests that don't crash them.
-    pub fn workers_usually(&self, act: &Act) {
+    pub fn set_default_act(&self, act: &Act) {
         for worker in &self.workers {
             worker.usually(act.clone());
         }
     }
 
     /// How often workers were sent a body.
-    pub fn sent(&self, body: &str) -> usize {
+    pub fn times_sent(&self, body: &str) -> usize {
         let seen = self.workers.iter().flat_map(Worker::seen);
         seen.filter(|s| s.body == body.as_bytes()).count()
     }
 
     /// How often workers have ended so far.
-    pub fn ends(&self) -> u64 {
+    pub fn crash_count(&self) -> u64 {
         self.workers.iter().map(Worker::crashes).sum()
     }
 
     /// Workers that are up don't crash any more.
-    pub fn mend_workers(&self) {
+    pub fn disable_crashes(&self) {
         for worker in &self.workers {
             worker.crash_on(None);
         }
@@ -159,8 +159,8 @@
     /// Sends a request to one of the hosts, by turns; gives its answer.
     pub async fn exchange(&self, path: &str, id: usize, body: &str) -> String {
         let host = &self.hosts[id % self.hosts.len()];
-        let more = super::FEW_TOKENS;
-        let text = request("POST", path, &format!("{body}-{id}"), more, body);
+        let headers = super::SHORT_PROMPT_HEADERS;
+        let text = request("POST", path, &format!("{body}-{id}"), headers, body);
         super::exchange(host.callers, &text).await
     }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -14,20 +14,20 @@
 use tokio::net::TcpStream;
 
 /// Longest wait for a condition. Far above what any takes, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-static NEXT: AtomicU32 = AtomicU32::new(1);
+static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(1);
 
 /// An address that no other test uses: one of the process's own in 127.64.0.0/10.
 pub fn address() -> Ipv4Addr {
     let process = std::process::id();
-    let n = NEXT.fetch_add(1, Ordering::Relaxed);
+    let n = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     let low = (process << 7) ^ n;
     Ipv4Addr::from(0x7f40_0000 | (low & 0x003f_ffff) | 1 << 21)
 }
 
 /// A gateway with its store.
-pub struct Bed {
+pub struct TestGateway {
     pub store: Store,
     pub callers: SocketAddr,
     pub ready: SocketAddr,
@@ -36,7 +36,7 @@
     pub host: Host,
 }
 
-impl Drop for Bed {
+impl Drop for TestGateway {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -68,21 +68,21 @@
 }
 
 /// Starts a gateway, without configuration or workers yet.
-pub fn start_bare() -> Bed {
+pub fn start_without_config() -> TestGateway {
     let ip = address();
     let store = Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap();
     start_on(host(ip, store.addr), store)
 }
 
 /// Starts a gateway on a host for a store.
-pub fn start_on(host: Host, store: Store) -> Bed {
+pub fn start_on(host: Host, store: Store) -> TestGateway {
     let stop = Stop::default();
-    let (run, stopped) = (host.clone(), stop.clone());
+    let (settings, stopped) = (host.clone(), stop.clone());
     let task = tokio::spawn(async move {
         let path = PathBuf::from("/nonexistent/settings");
-        gateway::run(path, run, stopped).await.unwrap();
+        gateway::run(path, settings, stopped).await.unwrap();
     });
-    Bed {
+    TestGateway {
         callers: host.callers.unwrap(),
         ready: host.ready.unwrap(),
         store,
@@ -93,20 +93,20 @@
 }
 
 /// Starts a gateway with the usual routes and so many workers of `plain`.
-pub async fn start(workers: usize) -> (Bed, Vec<Worker>) {
-    let bed = start_bare();
-    let mut out = Vec::new();
-    for n in 0..workers {
+pub async fn start(count: usize) -> (TestGateway, Vec<Worker>) {
+    let gateway = start_without_config();
+    let mut workers = Vec::new();
+    for n in 0..count {
         let id = format!("i-{n}");
-        out.push(bed.add_worker(&id, "plain", None).await);
+        workers.push(gateway.add_worker(&id, "plain", None).await);
     }
-    bed.store.put("op", "config", &config(1, &routes()));
-    bed.wait_ready(200).await;
-    bed.wait_retries(&bed.store).await;
-    (bed, out)
+    gateway.store.put("op", "config", &config(1, &routes()));
+    gateway.wait_ready(200).await;
+    gateway.wait_for_retry_budget(&gateway.store).await;
+    (gateway, workers)
 }
 
-impl Bed {
+impl TestGateway {
     /// Starts a worker and registers it.
     pub async fn add_worker(&self, id: &str, service: &str, stage: Option<&str>) -> Worker {
         let addr = SocketAddr::new(IpAddr::V4(address()), 7100);
@@ -141,11 +141,11 @@
     /// Waits until the gateway has its share of the retries: it takes the least until it has
     /// read who the others are, after which it writes its own row, and looks at them again
     /// and again. It may be ready before, and then sends nothing a second time.
-    pub async fn wait_retries(&self, store: &Store) {
-        const LOOKS: Duration = Duration::from_millis(300);
+    pub async fn wait_for_retry_budget(&self, store: &Store) {
+        const REFRESH_TIME: Duration = Duration::from_millis(300);
         let name = &self.host.name;
         wait_for("its row", || async { store.has("processes", name) }).await;
-        tokio::time::sleep(LOOKS).await;
+        tokio::time::sleep(REFRESH_TIME).await;
     }
 
     /// Waits until a request is answered with a status.
@@ -160,39 +160,39 @@
 }
 
 /// Headers of a prompt with a short answer.
-pub const FEW_TOKENS: &str = "token-counts: 100,5\r\nprompt-prefix: a:50,b:50\r\n";
+pub const SHORT_PROMPT_HEADERS: &str = "token-counts: 100,5\r\nprompt-prefix: a:50,b:50\r\n";
 /// How long after the stop signal an answer of 1.5 s can still be ended for some time, with a
 /// grace of 8 s, though it may take nearly twice as long on a host that has just started.
-pub const LAST_MOMENT: Duration = Duration::from_millis(3700);
+pub const LATE_IN_SHUTDOWN: Duration = Duration::from_millis(3700);
 
-impl Bed {
+impl TestGateway {
     /// Sends so many requests at once; gives their answers.
     pub async fn exchange_many(
         &self,
         path: &str,
         id: &str,
-        more: &str,
+        headers: &str,
         count: usize,
     ) -> Vec<String> {
-        let sent = (0..count).map(|n| {
-            let text = request("POST", path, &format!("{id}-{n}"), more, "x");
+        let calls = (0..count).map(|n| {
+            let text = request("POST", path, &format!("{id}-{n}"), headers, "x");
             let callers = self.callers;
             tokio::spawn(async move { exchange(callers, &text).await })
         });
         let mut answers = Vec::new();
-        for answer in sent.collect::<Vec<_>>() {
-            answers.push(answer.await.unwrap());
+        for call in calls.collect::<Vec<_>>() {
+            answers.push(call.await.unwrap());
         }
         answers
     }
 
     /// Sends a short prompt whose answer begins and never ends, so that the host waits for
     /// it until its deadline, 4 s later.
-    async fn hold(&self, engine: &Worker, id: &str) -> Client {
+    async fn start_endless_answer(&self, engine: &Worker, id: &str) -> Client {
         engine.script([Act::EventsThenHang(1..=2)]);
         let mut client = Client::connect(self.callers).await;
         client
-            .send(&request("POST", "/prompt/", id, FEW_TOKENS, "x"))
+            .send(&request("POST", "/prompt/", id, SHORT_PROMPT_HEADERS, "x"))
             .await;
         client.read_until("piece 2").await;
         client
@@ -201,7 +201,7 @@
     /// Adds an engine that generates, and waits until it is used.
     pub async fn add_engine(&self) -> Worker {
         let engine = self.add_worker("i-llm", "llm", Some("decode")).await;
-        let probe = request("POST", "/prompt/", "probe", FEW_TOKENS, "x");
+        let probe = request("POST", "/prompt/", "probe", SHORT_PROMPT_HEADERS, "x");
         self.wait_answer(&probe, 200).await;
         engine
     }
@@ -209,11 +209,11 @@
     /// Stops the host, which an engine's answers hold up, and waits until a time after the
     /// signal, at most 6 s.
     pub async fn stop_and_wait(&self, engine: &Worker, after: Duration) -> [Client; 2] {
-        let first = self.hold(engine, "held-1").await;
+        let first = self.start_endless_answer(engine, "held-1").await;
         self.stop.stop();
         let since = tokio::time::Instant::now();
         tokio::time::sleep_until(since + Duration::from_millis(2600)).await;
-        let second = self.hold(engine, "held-2").await;
+        let second = self.start_endless_answer(engine, "held-2").await;
         tokio::time::sleep_until(since + after).await;
         [first, second]
     }
@@ -221,9 +221,9 @@
 
 /// Waits for a condition.
 pub async fn wait_for<F: Future<Output = bool>>(what: &str, is_met: impl Fn() -> F) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !is_met().await {
-        assert!(Instant::now() < until, "waited too long for {what}");
+        assert!(Instant::now() < deadline, "waited too long for {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -242,17 +242,17 @@
 }
 
 impl Client {
-    pub fn over(tcp: TcpStream) -> Self {
+    pub fn new(tcp: TcpStream) -> Self {
         let buf = Vec::new();
         Self { tcp, buf }
     }
 
     pub async fn connect(addr: SocketAddr) -> Self {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match TcpStream::connect(addr).await {
-                Ok(tcp) => return Self::over(tcp),
-                Err(e) => assert!(Instant::now() < until, "{addr}: {e}"),
+                Ok(tcp) => return Self::new(tcp),
+                Err(e) => assert!(Instant::now() < deadline, "{addr}: {e}"),
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -264,19 +264,21 @@
 
     /// Reads until the bytes so far contain a text.
     pub async fn read_until(&mut self, text: &str) -> String {
-        let read = async {
+        let reading = async {
             while !self.text().contains(text) {
                 let n = self.tcp.read_buf(&mut self.buf).await.unwrap_or(0);
                 assert!(n > 0, "closed before {text:?}: {:?}", self.text());
             }
         };
-        tokio::time::timeout(PATIENCE, read).await.expect("in time");
+        tokio::time::timeout(WAIT_TIMEOUT, reading)
+            .await
+            .expect("in time");
         self.text()
     }
 
     /// Reads until the connection ends; says whether it was closed in order.
     pub async fn read_to_end(&mut self) -> (String, bool) {
-        let read = async {
+        let reading = async {
             loop {
                 match self.tcp.read_buf(&mut self.buf).await {
                     Ok(0) => return true,
@@ -285,15 +287,17 @@
                 }
             }
         };
-        let in_order = tokio::time::timeout(PATIENCE, read).await.expect("in time");
-        (self.text(), in_order)
+        let is_clean = tokio::time::timeout(WAIT_TIMEOUT, reading)
+            .await
+            .expect("in time");
+        (self.text(), is_clean)
     }
 
     /// Reads one answer: by its length, or by its last chunk, or to the end.
     pub async fn read(&mut self) -> String {
-        let read = async {
+        let reading = async {
             loop {
-                if let Some(len) = whole(&self.buf) {
+                if let Some(len) = answer_len(&self.buf) {
                     let rest = self.buf.split_off(len);
                     let text = std::mem::replace(&mut self.buf, rest);
                     return String::from_utf8_lossy(&text).into_owned();
@@ -305,7 +309,9 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, read).await.expect("in time")
+        tokio::time::timeout(WAIT_TIMEOUT, reading)
+            .await
+            .expect("in time")
     }
 
     pub fn text(&self) -> String {
@@ -314,7 +320,7 @@
 }
 
 /// Length of the answer at the start of a buffer, once it is whole.
-fn whole(buf: &[u8]) -> Option<usize> {
+fn answer_len(buf: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(buf).ok()?;
     let head = text.find("\r\n\r\n")? + 4;
     let headers = text[..head].to_ascii_lowercase();
--- a/crates/gateway/tests/common_requests.rs
+++ b/crates/gateway/tests/common_requests.rs
@@ -15,7 +15,7 @@
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
 
-use common::crashing::{DEADLY, System};
+use common::crashing::{CRASH_MARKER, System};
 use common::wait_for;
 use standin::{Act, Mode};
 use std::sync::Arc;
@@ -27,41 +27,44 @@
 const PATH: &str = "/unsafe/";
 /// Time in which a common request must be served again, and a host that has just started must
 /// know of it: seconds, and room for a busy machine.
-const SECONDS: Duration = Duration::from_secs(8);
+const RECOVERY_TIME: Duration = Duration::from_secs(8);
 /// Time after which a word was told for the last time as news.
-const TOLD: Duration = Duration::from_secs(5);
+const RESEND_TIME: Duration = Duration::from_secs(5);
 
 /// Time after its start in which a host has read the rows of ends.
-const FIRST_READ: Duration = Duration::from_millis(1600);
+const FIRST_READ_TIME: Duration = Duration::from_millis(1600);
 
 /// Hosts before three workers that don't answer until they are told to, and what is sent there.
-struct Scene {
+struct Scenario {
     system: Arc<System>,
-    next: usize,
+    next_round: usize,
 }
 
-impl Scene {
+impl Scenario {
     async fn start(hosts: usize) -> Self {
         let system = Arc::new(System::start(hosts, 3).await);
-        system.workers_usually(&Act::Hang);
-        Self { system, next: 0 }
+        system.set_default_act(&Act::Hang);
+        Self {
+            system,
+            next_round: 0,
+        }
     }
 
     /// Sends the common request to a host.
     fn send(&mut self, host: usize) -> JoinHandle<u16> {
-        let id = self.next * self.system.hosts.len() + host;
-        self.next += 1;
+        let id = self.next_round * self.system.hosts.len() + host;
+        self.next_round += 1;
         let system = self.system.clone();
         tokio::spawn(async move { system.send(PATH, id, COMMON).await })
     }
 
     /// Three other requests end the three workers, the busier ones last.
-    async fn crash_all(&self) {
-        let before = self.system.ends();
+    async fn crash_all_workers(&self) {
+        let before = self.system.crash_count();
         for other in 0..3 {
-            let body = format!("{DEADLY} {other}");
+            let body = format!("{CRASH_MARKER} {other}");
             let mut id = 1;
-            while self.system.ends() < before + 1 + other {
+            while self.system.crash_count() < before + 1 + other {
                 self.system.send(PATH, id, &body).await;
                 id += self.system.hosts.len();
             }
@@ -69,16 +72,16 @@
     }
 
     /// Has it held back: it runs at each worker when that ends.
-    async fn hold(&mut self) {
+    async fn block_common_request(&mut self) {
         let running: Vec<_> = (0..3).map(|_| self.send(0)).collect();
         let system = self.system.clone();
         wait_for("it at each worker", || async {
-            system.sent(COMMON) == running.len()
+            system.times_sent(COMMON) == running.len()
         })
         .await;
-        self.crash_all().await;
-        for one in running {
-            assert_eq!(one.await.unwrap(), 502);
+        self.crash_all_workers().await;
+        for call in running {
+            assert_eq!(call.await.unwrap(), 502);
         }
         wait_for("what is held back", || async {
             let answer = system.exchange(PATH, 100_000, COMMON).await;
@@ -89,18 +92,18 @@
 
     /// Sends it to all hosts until one of them tries it; gives that one. Nobody may refuse it
     /// for good meanwhile.
-    async fn tried(&mut self) -> JoinHandle<u16> {
-        let until = Instant::now() + SECONDS;
+    async fn wait_for_trial(&mut self) -> JoinHandle<u16> {
+        let deadline = Instant::now() + RECOVERY_TIME;
         let system = self.system.clone();
         loop {
-            assert!(Instant::now() < until, "not tried again within seconds");
+            assert!(Instant::now() < deadline, "not tried again within seconds");
             for host in 0..system.hosts.len() {
-                let before = system.sent(COMMON);
-                let mut sent = self.send(host);
-                let is_tried = async || system.sent(COMMON) > before;
+                let before = system.times_sent(COMMON);
+                let mut call = self.send(host);
+                let is_tried = async || system.times_sent(COMMON) > before;
                 tokio::select! {
-                    status = &mut sent => assert_eq!(status.unwrap(), 503),
-                    () = wait_for("an answer or a trial", is_tried) => return sent,
+                    status = &mut call => assert_eq!(status.unwrap(), 503),
+                    () = wait_for("an answer or a trial", is_tried) => return call,
                 }
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -109,9 +112,9 @@
 
     /// Sends it to all hosts until each has served it, as workers answer again; none may refuse
     /// it for good.
-    async fn is_served(&mut self) {
-        self.system.workers_usually(&Act::Echo);
-        let until = Instant::now() + SECONDS;
+    async fn assert_served_by_all(&mut self) {
+        self.system.set_default_act(&Act::Echo);
+        let deadline = Instant::now() + RECOVERY_TIME;
         for host in 0..self.system.hosts.len() {
             loop {
                 let status = self.send(host).await.unwrap();
@@ -119,7 +122,7 @@
                 if status == 200 {
                     break;
                 }
-                assert!(Instant::now() < until, "host {host} says {status}");
+                assert!(Instant::now() < deadline, "host {host} says {status}");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -127,25 +130,25 @@
 }
 
 #[tokio::test]
-async fn a_trial_that_meets_another_requests_crash_proves_nothing() {
-    let mut scene = Scene::start(3).await;
-    scene.hold().await;
+async fn a_trial_during_another_requests_crash_confirms_nothing() {
+    let mut scenario = Scenario::start(3).await;
+    scenario.block_common_request().await;
     for _ in 0..2 {
-        let trial = scene.tried().await;
-        scene.crash_all().await;
+        let trial = scenario.wait_for_trial().await;
+        scenario.crash_all_workers().await;
         assert_eq!(trial.await.unwrap(), 502);
     }
-    scene.is_served().await;
+    scenario.assert_served_by_all().await;
 }
 
 #[tokio::test]
-async fn a_trial_that_gets_no_answer_is_followed_by_another() {
-    let mut scene = Scene::start(2).await;
-    scene.hold().await;
+async fn a_trial_without_an_answer_is_repeated() {
+    let mut scenario = Scenario::start(2).await;
+    scenario.block_common_request().await;
     for _ in 0..2 {
-        scene.tried().await;
+        scenario.wait_for_trial().await;
     }
-    scene.is_served().await;
+    scenario.assert_served_by_all().await;
 }
 
 /// Seen by reading: a call that removed the rows of 32 ends, with those of their trials, had more
@@ -156,18 +159,18 @@
     let bodies: Vec<String> = (0..20).map(|n| format!("{COMMON} {n}")).collect();
     for body in &bodies {
         for upstream in 1..=2 {
-            system.put_end(PATH, body, upstream);
+            system.put_crash_row(PATH, body, upstream);
         }
     }
     // Without an answer they stand.
-    tokio::time::sleep(TOLD).await;
+    tokio::time::sleep(RESEND_TIME).await;
     assert_eq!(system.store.keys("crashes").len(), 40);
     let send = |body: String| {
         let system = system.clone();
         tokio::spawn(async move { system.send(PATH, 0, &body).await })
     };
-    for sent in bodies.into_iter().map(send).collect::<Vec<_>>() {
-        assert_eq!(sent.await.unwrap(), 200);
+    for call in bodies.into_iter().map(send).collect::<Vec<_>>() {
+        assert_eq!(call.await.unwrap(), 200);
     }
     wait_for("no rows", || async {
         system.store.keys("crashes").is_empty()
@@ -178,14 +181,14 @@
 /// As an upstream that goes dark when it crashes: its connections stay open, and it is back
 /// under a new start seconds later.
 #[tokio::test]
-async fn trials_that_end_upstreams_without_a_sign_count_as_ends() {
-    let mut scene = Scene::start(2).await;
-    scene.hold().await;
+async fn trials_whose_upstream_restarts_without_closing_connections_count_as_crashes() {
+    let mut scenario = Scenario::start(2).await;
+    scenario.block_common_request().await;
     for start in 1..=2 {
-        scene.tried().await;
-        scene.system.register_anew(start);
+        scenario.wait_for_trial().await;
+        scenario.system.register_restarted(start);
     }
-    let system = scene.system.clone();
+    let system = scenario.system.clone();
     wait_for("proof", || async {
         system.send(PATH, 1_000_000, COMMON).await == 400
     })
@@ -193,21 +196,21 @@
 }
 
 #[tokio::test]
-async fn an_answer_outlasts_rows_that_could_not_be_removed() {
-    let mut scene = Scene::start(2).await;
-    scene.hold().await;
-    let store = scene.system.store.clone();
+async fn an_answer_is_resent_while_its_crash_rows_cannot_be_removed() {
+    let mut scenario = Scenario::start(2).await;
+    scenario.block_common_request().await;
+    let store = scenario.system.store.clone();
     wait_for("rows of the ends", || async {
         store.keys("crashes").len() >= 3
     })
     .await;
     store.set_mode(Mode::RefuseWritesTo("crashes"));
-    scene.is_served().await;
+    scenario.assert_served_by_all().await;
     // By then it was last told as news.
-    tokio::time::sleep(TOLD).await;
-    let mut system = Arc::into_inner(scene.system).expect("nothing is being sent");
+    tokio::time::sleep(RESEND_TIME).await;
+    let mut system = Arc::into_inner(scenario.system).expect("nothing is being sent");
     system.add_host(7002).await;
-    scene.system = Arc::new(system);
-    tokio::time::sleep(FIRST_READ).await;
-    scene.is_served().await;
+    scenario.system = Arc::new(system);
+    tokio::time::sleep(FIRST_READ_TIME).await;
+    scenario.assert_served_by_all().await;
 }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -14,7 +14,7 @@
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
 
-use common::crashing::{DEADLY, SETTLED, System};
+use common::crashing::{CRASH_MARKER, DETECTION_TIME, System};
 use common::{request, start, status, wait_for};
 use standin::{Act, Mode};
 use std::collections::BTreeMap;
@@ -22,15 +22,15 @@
 use std::time::Duration;
 
 /// Sends that are allowed from 3 s after the third end on, by all hosts together.
-const MORE: u64 = 3;
+const MAX_LATER_SENDS: u64 = 3;
 /// Ports of hosts that don't hear each other.
-const APART: [u16; 3] = [7012, 7013, 7014];
+const SEPARATE_PEER_PORTS: [u16; 3] = [7012, 7013, 7014];
 
 /// Sends deadly requests until three workers have ended; gives the next id.
-async fn crash_three(system: &System, path: &str) -> usize {
+async fn crash_three_workers(system: &System, path: &str) -> usize {
     let mut id = 0;
-    while system.ends() < 3 {
-        system.send(path, id, DEADLY).await;
+    while system.crash_count() < 3 {
+        system.send(path, id, CRASH_MARKER).await;
         id += 1;
     }
     id
@@ -39,56 +39,59 @@
 /// Sends 24 more by turns, and others between them, which must be served as long as no
 /// more workers end than may.
 async fn send_more(system: &System, path: &str, from: usize) {
-    let before = system.ends();
+    let before = system.crash_count();
     for id in from..from + 24 {
-        system.send(path, id, DEADLY).await;
+        system.send(path, id, CRASH_MARKER).await;
         let other = system.send("/safe/", id, "other").await;
-        let more = system.ends() - before;
-        assert!(more <= MORE, "{more} more workers ended by {path}");
+        let later = system.crash_count() - before;
+        assert!(
+            later <= MAX_LATER_SENDS,
+            "{later} more workers ended by {path}"
+        );
         assert_eq!(other, 200);
     }
 }
 
 /// Lets all hosts know, and one of them try it, twice.
-async fn settle(system: &System, path: &str) {
-    tokio::time::sleep(SETTLED).await;
-    let before = system.ends();
+async fn run_both_trials(system: &System, path: &str) {
+    tokio::time::sleep(DETECTION_TIME).await;
+    let before = system.crash_count();
     for id in 0..12 {
-        system.send(path, id, DEADLY).await;
+        system.send(path, id, CRASH_MARKER).await;
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    let more = system.ends() - before;
-    assert!(more <= 2, "{more} trials");
+    let later = system.crash_count() - before;
+    assert!(later <= 2, "{later} trials");
 }
 
 /// Each host refuses the deadly request for good, and no worker ends.
-async fn all_refuse(system: &System, path: &str) {
-    let before = system.ends();
+async fn assert_all_refuse(system: &System, path: &str) {
+    let before = system.crash_count();
     for id in 0..system.hosts.len() {
-        assert_eq!(system.send(path, id, DEADLY).await, 400, "host {id}");
+        assert_eq!(system.send(path, id, CRASH_MARKER).await, 400, "host {id}");
     }
-    assert_eq!(system.ends(), before);
+    assert_eq!(system.crash_count(), before);
 }
 
 #[tokio::test]
-async fn a_request_that_crashes_each_upstream_is_stopped_at_all_hosts() {
+async fn a_request_that_crashes_every_upstream_is_blocked_by_all_hosts() {
     for path in ["/safe/", "/unsafe/"] {
         let system = System::start(3, 16).await;
-        let from = crash_three(&system, path).await;
-        tokio::time::sleep(SETTLED).await;
+        let from = crash_three_workers(&system, path).await;
+        tokio::time::sleep(DETECTION_TIME).await;
         send_more(&system, path, from).await;
     }
 }
 
 #[tokio::test]
-async fn it_is_refused_for_good_with_a_reason_of_its_own() {
+async fn a_confirmed_request_is_refused_with_its_own_reason_and_no_retry() {
     let system = System::start(1, 6).await;
     for id in 0..3 {
         // It may have run, so nothing else can be said.
-        assert_eq!(system.send("/unsafe/", id, DEADLY).await, 502);
+        assert_eq!(system.send("/unsafe/", id, CRASH_MARKER).await, 502);
     }
-    settle(&system, "/unsafe/").await;
-    let answer = system.exchange("/unsafe/", 3, DEADLY).await;
+    run_both_trials(&system, "/unsafe/").await;
+    let answer = system.exchange("/unsafe/", 3, CRASH_MARKER).await;
     assert_eq!(status(&answer), 400);
     assert!(answer.contains("\"crashes_upstreams\""), "{answer}");
     assert!(answer.contains("\"not_run\""), "{answer}");
@@ -98,27 +101,27 @@
 }
 
 #[tokio::test]
-async fn hosts_that_start_later_know_it_also_after_all_were_killed() {
+async fn hosts_that_start_later_refuse_it_even_after_all_hosts_were_killed() {
     let mut system = System::start(2, 8).await;
-    crash_three(&system, "/unsafe/").await;
+    crash_three_workers(&system, "/unsafe/").await;
     let store = system.store.clone();
     wait_for("rows of the ends", || async {
         store.keys("crashes").len() >= 3
     })
     .await;
     system.add_host(7002).await;
-    settle(&system, "/unsafe/").await;
-    all_refuse(&system, "/unsafe/").await;
+    run_both_trials(&system, "/unsafe/").await;
+    assert_all_refuse(&system, "/unsafe/").await;
     system.hosts.clear();
     system.add_host(7002).await;
-    tokio::time::sleep(SETTLED).await;
-    all_refuse(&system, "/unsafe/").await;
+    tokio::time::sleep(DETECTION_TIME).await;
+    assert_all_refuse(&system, "/unsafe/").await;
 }
 
 #[tokio::test]
-async fn hosts_that_hear_no_peer_know_it_by_the_store() {
+async fn hosts_without_live_peers_learn_of_crashes_from_the_store() {
     let mut system = System::start(0, 8).await;
-    for port in APART {
+    for port in SEPARATE_PEER_PORTS {
         system.add_host(port).await;
     }
     // They know of each other by then.
@@ -127,26 +130,26 @@
         store.keys("processes").len() == 3
     })
     .await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(DETECTION_TIME).await;
     for id in 0..3 {
-        assert_eq!(system.send("/unsafe/", id, DEADLY).await, 502);
+        assert_eq!(system.send("/unsafe/", id, CRASH_MARKER).await, 502);
     }
-    assert_eq!(system.ends(), 3);
-    settle(&system, "/unsafe/").await;
-    all_refuse(&system, "/unsafe/").await;
+    assert_eq!(system.crash_count(), 3);
+    run_both_trials(&system, "/unsafe/").await;
+    assert_all_refuse(&system, "/unsafe/").await;
 }
 
 /// A store that is silent for a while, as one that hosts come back to after an outage.
 #[tokio::test]
-async fn a_host_that_starts_while_the_store_is_silent_knows_it_soon_after() {
+async fn a_host_that_starts_while_the_store_is_silent_learns_of_crashes_afterwards() {
     let mut system = System::start(1, 8).await;
-    crash_three(&system, "/unsafe/").await;
+    crash_three_workers(&system, "/unsafe/").await;
     let store = system.store.clone();
     wait_for("rows of the ends", || async {
         store.keys("crashes").len() >= 3
     })
     .await;
-    settle(&system, "/unsafe/").await;
+    run_both_trials(&system, "/unsafe/").await;
     system.add_host(7002).await;
     system.hosts.clear();
     // Ready by what the store tells first, and blind for the ends then.
@@ -154,49 +157,49 @@
     system.add_host(7012).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     system.store.set_mode(Mode::Serve);
-    tokio::time::sleep(SETTLED).await;
-    all_refuse(&system, "/unsafe/").await;
+    tokio::time::sleep(DETECTION_TIME).await;
+    assert_all_refuse(&system, "/unsafe/").await;
 }
 
 #[tokio::test]
-async fn hosts_tell_each_other_while_the_store_is_away() {
+async fn hosts_share_crash_reports_while_the_store_is_unavailable() {
     let system = System::start(3, 8).await;
     // All have heard each other by then.
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(DETECTION_TIME).await;
     system.store.set_mode(Mode::Refuse(503));
     for id in 0..3 {
-        assert_eq!(system.send("/unsafe/", id, DEADLY).await, 502);
+        assert_eq!(system.send("/unsafe/", id, CRASH_MARKER).await, 502);
     }
     // The first of them tries it; the others can't know that, so they say it may be served
     // later.
-    settle(&system, "/unsafe/").await;
-    let before = system.ends();
+    run_both_trials(&system, "/unsafe/").await;
+    let before = system.crash_count();
     for id in 0..3 {
-        let status = system.send("/unsafe/", id, DEADLY).await;
+        let status = system.send("/unsafe/", id, CRASH_MARKER).await;
         assert!(status == 400 || status == 503, "{status}");
     }
-    assert_eq!(system.ends(), before);
+    assert_eq!(system.crash_count(), before);
 }
 
 #[tokio::test]
-async fn held_work_that_upstreams_bear_again_is_served_by_a_trial() {
+async fn a_blocked_request_that_no_longer_crashes_is_served_by_a_trial() {
     let system = System::start(3, 8).await;
-    crash_three(&system, "/unsafe/").await;
-    system.mend_workers();
-    tokio::time::sleep(SETTLED).await;
-    let before = system.ends();
+    crash_three_workers(&system, "/unsafe/").await;
+    system.disable_crashes();
+    tokio::time::sleep(DETECTION_TIME).await;
+    let before = system.crash_count();
     let mut id = 0;
-    while system.send("/unsafe/", id, DEADLY).await != 200 {
+    while system.send("/unsafe/", id, CRASH_MARKER).await != 200 {
         assert!(id < 1000, "no trial in 50 s");
         tokio::time::sleep(Duration::from_millis(50)).await;
         id += 1;
     }
-    assert_eq!(system.ends(), before);
+    assert_eq!(system.crash_count(), before);
 }
 
 /// As when a service is restarted as a whole: all that ran everywhere was there at many ends.
 #[tokio::test]
-async fn a_common_request_at_the_end_of_all_workers_is_served_again_at_once() {
+async fn a_common_request_running_when_all_workers_crash_is_served_again_at_once() {
     let system = Arc::new(System::start(2, 6).await);
     let send = |id: usize| {
         let system = system.clone();
@@ -206,20 +209,22 @@
     let running: Vec<_> = (0..36).map(send).collect();
     tokio::time::sleep(Duration::from_millis(10)).await;
     for id in 0..60 {
-        system.send("/unsafe/", id, &format!("{DEADLY} {id}")).await;
+        system
+            .send("/unsafe/", id, &format!("{CRASH_MARKER} {id}"))
+            .await;
     }
-    for one in running {
-        one.await.unwrap();
+    for call in running {
+        call.await.unwrap();
     }
     let mut id = 100;
-    let mut seen = Vec::new();
-    while seen.last() != Some(&200) {
-        assert!(id < 1100, "not served in 50 s: {seen:?}");
+    let mut statuses = Vec::new();
+    while statuses.last() != Some(&200) {
+        assert!(id < 1100, "not served in 50 s: {statuses:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        seen.push(system.send("/unsafe/", id, "common").await);
+        statuses.push(system.send("/unsafe/", id, "common").await);
         id += 1;
     }
-    assert!(!seen.contains(&400), "{seen:?}");
+    assert!(!statuses.contains(&400), "{statuses:?}");
     // The other host hears of the answer by a datagram.
     let other = system.clone();
     wait_for("the other host", || async {
@@ -232,7 +237,7 @@
 }
 
 #[tokio::test]
-async fn two_deadly_requests_from_hundreds_of_clients_are_both_stopped() {
+async fn two_crashing_requests_from_hundreds_of_clients_are_both_blocked() {
     let system = Arc::new(System::start(3, 16).await);
     let (one, two) = ("deadly one", "deadly two");
     let mut clients = Vec::new();
@@ -250,54 +255,55 @@
         system.send("/unsafe/", id, [one, two][id % 2]).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let before = system.ends();
-    tokio::time::sleep(SETTLED).await;
+    let before = system.crash_count();
+    tokio::time::sleep(DETECTION_TIME).await;
     for id in 0..24 {
         system.send("/unsafe/", id, [one, two][id % 2]).await;
         assert_eq!(system.send("/safe/", id, "other").await, 200);
     }
-    let more = system.ends() - before;
-    assert!(more <= 2 * MORE, "{more} more workers ended");
+    let later = system.crash_count() - before;
+    assert!(later <= 2 * MAX_LATER_SENDS, "{later} more workers ended");
 }
 
 #[tokio::test]
-async fn a_common_request_that_is_there_by_chance_goes_on_being_served() {
+async fn a_common_request_that_runs_during_crashes_of_others_is_still_served() {
     let system = Arc::new(System::start(2, 12).await);
     let mut clients = Vec::new();
     for client in 0..8 {
         let system = system.clone();
         clients.push(tokio::spawn(async move {
-            let mut seen = BTreeMap::<u16, usize>::new();
+            let mut statuses = BTreeMap::<u16, usize>::new();
             for id in 0..60 {
                 let status = system.send("/safe/", client + 8 * id, "common").await;
-                *seen.entry(status).or_default() += 1;
+                *statuses.entry(status).or_default() += 1;
             }
-            seen
+            statuses
         }));
     }
     for n in 0..10 {
-        let body = format!("{DEADLY} {n}");
+        let body = format!("{CRASH_MARKER} {n}");
         system.send("/unsafe/", n, &body).await;
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
-    assert!(system.ends() >= 8);
+    assert!(system.crash_count() >= 8);
     for client in clients {
-        let seen = client.await.unwrap();
-        assert_eq!(seen.get(&400), None, "{seen:?}");
-        assert!(seen[&200] >= 50, "{seen:?}");
+        let statuses = client.await.unwrap();
+        assert_eq!(statuses.get(&400), None, "{statuses:?}");
+        assert!(statuses[&200] >= 50, "{statuses:?}");
     }
 }
 
 #[tokio::test]
-async fn a_connection_that_breaks_at_an_upstream_that_lives_is_no_crash() {
-    let (bed, workers) = start(3).await;
+async fn a_connection_broken_by_a_live_upstream_is_not_a_crash() {
+    let (gateway, workers) = start(3).await;
     let send = async |id: String, body: &str| {
         let text = request("POST", "/unsafe/", &id, "", body);
-        status(&common::exchange(bed.callers, &text).await)
+        status(&common::exchange(gateway.callers, &text).await)
     };
     for round in 0..6 {
         // Each keeps a connection.
-        bed.exchange_many("/unsafe/", &format!("warm-{round}"), "", 24)
+        gateway
+            .exchange_many("/unsafe/", &format!("warm-{round}"), "", 24)
             .await;
         for worker in &workers {
             worker.script([Act::Close]);
@@ -315,45 +321,45 @@
 /// each is back under a new start. Seen by reading: such an end counted for nothing, so the
 /// request was sent on without end.
 #[tokio::test]
-async fn a_request_under_which_upstreams_go_dark_is_stopped_too() {
+async fn a_request_whose_upstreams_stop_responding_is_blocked_too() {
     let system = System::start(2, 4).await;
-    system.workers_usually(&Act::Hang);
+    system.set_default_act(&Act::Hang);
     let mut id = 0;
     let mut send = async |pause: Duration| {
         id += 1;
         let status = system.send("/short/", id, "dark").await;
-        system.register_anew(id as u64);
+        system.register_restarted(id as u64);
         tokio::time::sleep(pause).await;
         status
     };
     for _ in 0..3 {
         assert_eq!(send(Duration::from_millis(1500)).await, 504);
     }
-    tokio::time::sleep(SETTLED).await;
-    let before = system.sent("dark");
+    tokio::time::sleep(DETECTION_TIME).await;
+    let before = system.times_sent("dark");
     for _ in 0..16 {
         send(Duration::from_millis(300)).await;
     }
-    let more = (system.sent("dark") - before) as u64;
-    assert!(more <= MORE, "{more} more sends");
+    let later = (system.times_sent("dark") - before) as u64;
+    assert!(later <= MAX_LATER_SENDS, "{later} more sends");
 }
 
 #[tokio::test]
-async fn a_prompt_that_crashes_generators_is_neither_read_nor_run_any_more() {
+async fn a_prompt_that_crashes_generators_is_neither_prefilled_nor_generated_again() {
     for path in ["/prompt/", "/prompt-again/"] {
         let system = System::start_engines(2, 2, 8).await;
-        let from = crash_three(&system, path).await;
-        tokio::time::sleep(SETTLED).await;
-        let ends = system.ends();
-        let read = || -> usize {
-            let seen = system.readers.iter().flat_map(|r| r.seen());
-            seen.filter(|s| s.body == DEADLY.as_bytes()).count()
+        let from = crash_three_workers(&system, path).await;
+        tokio::time::sleep(DETECTION_TIME).await;
+        let crashes_before = system.crash_count();
+        let prefills = || -> usize {
+            let seen = system.prefill_engines.iter().flat_map(|r| r.seen());
+            seen.filter(|s| s.body == CRASH_MARKER.as_bytes()).count()
         };
-        let before = read();
+        let before = prefills();
         for id in from..from + 12 {
-            system.send(path, id, DEADLY).await;
+            system.send(path, id, CRASH_MARKER).await;
         }
-        let sends = (read() - before) as u64 + system.ends() - ends;
-        assert!(sends <= MORE, "{sends} more sends on {path}");
+        let sends = (prefills() - before) as u64 + system.crash_count() - crashes_before;
+        assert!(sends <= MAX_LATER_SENDS, "{sends} more sends on {path}");
     }
 }
--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -14,7 +14,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
 
-fn beat(upstream: u32) -> PeerStatus {
+fn peer_status(upstream: u32) -> PeerStatus {
     PeerStatus {
         start: 1,
         number: 1,
@@ -52,7 +52,7 @@
     }
 }
 
-fn changes() -> RegistryChanges {
+fn registry_changes() -> RegistryChanges {
     let mut present = instance(1, Stage::Decode);
     present.start = Some(Start(1_700_000_000_000));
     RegistryChanges {
@@ -67,11 +67,11 @@
 }
 
 /// Bytes of all kinds, and such as were a message before some of them changed.
-fn bytes(good: Vec<u8>) -> impl Strategy<Value = Vec<u8>> {
+fn valid_or_random_bytes(valid: Vec<u8>) -> impl Strategy<Value = Vec<u8>> {
     let any_bytes = proptest::collection::vec(any::<u8>(), 0..200);
     let changes = proptest::collection::vec((any::<usize>(), any::<u8>()), 0..4);
     let changed = (changes, any::<usize>()).prop_map(move |(changes, cut)| {
-        let mut bytes = good.clone();
+        let mut bytes = valid.clone();
         for (at, byte) in changes {
             let at = at % bytes.len();
             bytes[at] = byte;
@@ -85,29 +85,29 @@
 }
 
 #[test]
-fn any_datagram_is_taken_or_refused_and_leaves_sums_whole() {
+fn any_datagram_is_decoded_or_refused_and_keeps_load_sums_consistent() {
     let gateway = gateway_with(&[Stage::Decode]);
     let tag = gateway.fleet().iter().next().unwrap().1.tag();
-    let good = wire::encode_compact(&beat(tag));
-    assert!(wire::decode::<PeerStatus>(&good).is_some());
-    let datagrams = proptest::collection::vec(bytes(good), 1..30);
+    let valid = wire::encode_compact(&peer_status(tag));
+    assert!(wire::decode::<PeerStatus>(&valid).is_some());
+    let datagrams = proptest::collection::vec(valid_or_random_bytes(valid), 1..30);
     runner()
         .run(&datagrams, |datagrams| {
             let mut peers = Peers::default();
             let now = Instant::now();
             for (n, bytes) in datagrams.iter().enumerate() {
-                let Some(beat) = wire::decode::<PeerStatus>(bytes) else {
+                let Some(status) = wire::decode::<PeerStatus>(bytes) else {
                     continue;
                 };
-                let told = beat.loads.len() + beat.changing.len() + beat.placements.len();
-                prop_assert!(told <= bytes.len());
+                let entries = status.loads.len() + status.changing.len() + status.placements.len();
+                prop_assert!(entries <= bytes.len());
                 let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, n as u8));
                 let mut fleet = gateway.fleet();
-                peers.receive(ip, beat, &mut fleet, now);
+                peers.receive(ip, status, &mut fleet, now);
                 peers.choose_parent(gateway.location(), &mut fleet, now);
                 drop(fleet);
                 peers.process_count(now);
-                let own = self::beat(tag);
+                let own = peer_status(tag);
                 peers.outgoing(gateway.location(), &own, now);
             }
             let mut fleet = gateway.fleet();
@@ -121,26 +121,26 @@
 }
 
 #[test]
-fn the_most_that_peers_may_say_adds_up() {
+fn the_sum_of_maximum_peer_loads_saturates() {
     let gateway = gateway_with(&[Stage::Decode]);
     let tag = gateway.fleet().iter().next().unwrap().1.tag();
     let mut peers = Peers::default();
     let now = Instant::now();
     for n in 0..4 {
-        let mut beat = beat(tag);
-        beat.processes = u32::MAX;
-        beat.scope = match n {
+        let mut status = peer_status(tag);
+        status.processes = u32::MAX;
+        status.scope = match n {
             0 | 1 => Scope::Direct,
             _ => Scope::Up,
         };
-        let load = &mut beat.loads[0];
+        let load = &mut status.loads[0];
         (load.waiting, load.tokens) = (u16::MAX, u32::MAX);
         (load.running, load.streams) = (u16::MAX, u16::MAX);
         let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, n));
-        peers.receive(ip, beat, &mut gateway.fleet(), now);
+        peers.receive(ip, status, &mut gateway.fleet(), now);
     }
     gateway.set_live_peers(peers.process_count(now));
-    peers.outgoing(gateway.location(), &beat(tag), now);
+    peers.outgoing(gateway.location(), &peer_status(tag), now);
     let fleet = gateway.fleet();
     let (_, upstream) = fleet.iter().next().unwrap();
     assert_eq!(upstream.all_waiting_tokens(), u32::MAX);
@@ -148,11 +148,11 @@
 }
 
 #[test]
-fn any_changes_of_the_registry_are_taken_or_refused() {
-    let good = wire::encode_compact(&changes());
-    assert!(wire::decode::<RegistryChanges>(&good).is_some());
+fn any_registry_changes_are_applied_or_refused() {
+    let valid = wire::encode_compact(&registry_changes());
+    assert!(wire::decode::<RegistryChanges>(&valid).is_some());
     runner()
-        .run(&bytes(good), |bytes| {
+        .run(&valid_or_random_bytes(valid), |bytes| {
             let Some(changes) = wire::decode::<RegistryChanges>(&bytes) else {
                 return Ok(());
             };
@@ -164,26 +164,26 @@
 }
 
 #[test]
-fn a_message_that_announces_more_than_it_has_is_refused() {
+fn a_message_with_a_list_length_beyond_its_size_is_refused() {
     // A list of 4 billion entries, as the last field that follows whole ones.
-    let huge = [0xdd, 0xff, 0xff, 0xff, 0xff];
-    let mut beat = wire::encode_compact(&beat(1));
-    let loads = beat.len() - wire::encode_compact(&beat_lists()).len() + 1;
-    beat.truncate(loads);
-    beat.extend(huge);
-    assert!(wire::decode::<PeerStatus>(&beat).is_none());
+    let huge_list = [0xdd, 0xff, 0xff, 0xff, 0xff];
+    let mut status = wire::encode_compact(&peer_status(1));
+    let loads = status.len() - wire::encode_compact(&peer_status_lists()).len() + 1;
+    status.truncate(loads);
+    status.extend(huge_list);
+    assert!(wire::decode::<PeerStatus>(&status).is_none());
     let mut changes = wire::encode_compact(&RegistryChanges {
         present: Vec::new(),
         gone: Vec::new(),
-        ..changes()
+        ..registry_changes()
     });
     changes.truncate(changes.len() - 2);
-    changes.extend(huge);
+    changes.extend(huge_list);
     assert!(wire::decode::<RegistryChanges>(&changes).is_none());
 }
 
-/// The lists at the end of a beat, as one message.
-fn beat_lists() -> (
+/// The lists at the end of a status, as one message.
+fn peer_status_lists() -> (
     Vec<Load>,
     Vec<StageChange>,
     Vec<Placement>,
@@ -195,29 +195,29 @@
         placements,
         crashes,
         ..
-    } = beat(1);
+    } = peer_status(1);
     (loads, changing, placements, crashes)
 }
 
 #[test]
-fn any_durations_of_a_peer_are_taken_or_refused() {
+fn any_duration_snapshots_of_a_peer_are_merged_or_refused() {
     let mut durations = Durations::default();
     let now = Instant::now();
     let length = Length::Plain { route: 3 };
     for n in 0..20 {
         durations.record(length, Duration::from_millis(n), now);
     }
-    let told = durations.snapshot("s", now);
-    let good = wire::encode_compact(&told.into_iter().collect::<Vec<_>>());
+    let snapshot = durations.snapshot("s", now);
+    let valid = wire::encode_compact(&snapshot.into_iter().collect::<Vec<_>>());
     runner()
-        .run(&bytes(good), |bytes| {
+        .run(&valid_or_random_bytes(valid), |bytes| {
             if let Some(all) = wire::decode::<Vec<DurationSnapshot>>(&bytes) {
-                let mut taken = Durations::default();
-                for told in &all {
-                    taken.merge(told, now);
+                let mut merged = Durations::default();
+                for snapshot in &all {
+                    merged.merge(snapshot, now);
                 }
-                taken.upper_bound(length, now);
-                taken.upper_bound(
+                merged.upper_bound(length, now);
+                merged.upper_bound(
                     Length::Tokens {
                         expected: 9,
                         max: 9,
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn any_lease_is_taken_or_waited_for() {
+fn any_lease_row_is_handled_without_a_panic() {
     let lease = (any::<u64>(), any::<u64>(), any::<u64>());
     runner()
         .run(&lease, |(token, until_ms, now_ms)| {
@@ -255,7 +255,7 @@
             Ok(())
         })
         .unwrap();
-    let most = LeaseRead {
+    let maximum = LeaseRead {
         lease: Some(Lease {
             holder: "10.0.0.2".into(),
             token: u64::MAX,
@@ -264,5 +264,5 @@
         version: 1,
         now_ms: u64::MAX,
     };
-    decide(Duty::Orders, &most, "10.0.0.1", Duration::from_secs(3));
+    decide(Duty::Orders, &maximum, "10.0.0.1", Duration::from_secs(3));
 }
--- a/crates/gateway/tests/division.rs
+++ b/crates/gateway/tests/division.rs
@@ -9,35 +9,40 @@
 use platform::{Duty, Lease, LeaseRead, Stage};
 use std::time::{Duration, Instant};
 
-const LOOK: Duration = Duration::from_millis(50);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The use of engines of which so many read and so many answers are generated.
-fn uses(now: Division, readers_busy: u32, generators_busy: u32, answers: u32) -> Vec<EngineUse> {
-    let readers = (0..now.prefill_engines).map(|n| EngineUse {
+fn uses(
+    current: Division,
+    prefill_busy: u32,
+    generators_busy: u32,
+    answers: u32,
+) -> Vec<EngineUse> {
+    let prefill_engines = (0..current.prefill_engines).map(|n| EngineUse {
         is_prefill_only: true,
-        is_prefilling: n < readers_busy,
+        is_prefilling: n < prefill_busy,
         generating: 0,
     });
-    let generators = (0..now.generators).map(|n| EngineUse {
+    let generators = (0..current.generators).map(|n| EngineUse {
         is_prefill_only: false,
         is_prefilling: n < generators_busy,
-        generating: answers / now.generators + u32::from(n < answers % now.generators),
+        generating: answers / current.generators + u32::from(n < answers % current.generators),
     });
-    readers.chain(generators).collect()
+    prefill_engines.chain(generators).collect()
 }
 
 /// The demand after so many seconds of the same use.
 fn demand(uses: &[EngineUse], seconds: u32) -> Demand {
     let mut demand = Demand::default();
     for _ in 0..seconds * 20 {
-        demand.sample(uses.iter().copied(), LOOK);
+        demand.sample(uses.iter().copied(), SAMPLE_INTERVAL);
     }
     demand
 }
 
-fn division(readers: u32, generators: u32, slots: u32) -> Division {
+fn division(prefill_engines: u32, generators: u32, slots: u32) -> Division {
     Division {
-        prefill_engines: readers,
+        prefill_engines,
         generators,
         slots,
     }
@@ -46,109 +51,113 @@
 /// Long prompts and short answers on deep batches: 43 requests a second keep 4 of 5
 /// readers at work, and some 35 answers run where 448 would fit.
 #[test]
-fn full_readers_get_help_from_engines_that_generate_little() {
-    let now = division(5, 7, 64);
-    let demand = demand(&uses(now, 4, 2, 35), 6);
-    let wanted = demand.wanted_change(now, false).unwrap();
+fn full_prefill_engines_get_engines_that_generate_little() {
+    let current = division(5, 7, 64);
+    let demand = demand(&uses(current, 4, 2, 35), 6);
+    let wanted = demand.wanted_change(current, false).unwrap();
     assert_eq!(wanted.stage, Stage::Prefill);
     assert_eq!(wanted.basis, Basis::Prefilling);
     // A quarter of the engines may be away at once, a third goes on generating.
     assert_eq!(wanted.changes, 3);
     let next = division(8, 4, 64);
-    let rest = demand.wanted_change(next, false);
-    assert_eq!(rest, None, "a third is kept");
+    let further = demand.wanted_change(next, false);
+    assert_eq!(further, None, "a third is kept");
 }
 
 /// Engines with few slots: 16 long answers in 30 slots, readers half at work. One
 /// more reader earned 0.09 less there, since answers then wait for slots.
 #[test]
-fn no_order_is_given_where_slots_bind() {
-    for (now, busy, answers) in [
+fn no_order_is_given_when_slots_are_the_bottleneck() {
+    for (current, busy, answers) in [
         (division(3, 5, 6), 2, 16),
         (division(3, 6, 8), 2, 21),
         (division(10, 18, 12), 6, 60),
         (division(9, 16, 6), 6, 35),
     ] {
-        let demand = demand(&uses(now, busy, now.generators / 2, answers), 20);
-        assert_eq!(demand.wanted_change(now, false), None, "{now:?}");
-        let start = Demand::default();
-        assert_eq!(idle(start, now).wanted_change(now, true), None, "{now:?}");
+        let demand = demand(&uses(current, busy, current.generators / 2, answers), 20);
+        assert_eq!(demand.wanted_change(current, false), None, "{current:?}");
+        let empty = Demand::default();
+        assert_eq!(
+            idle(empty, current).wanted_change(current, true),
+            None,
+            "{current:?}"
+        );
     }
 }
 
 /// A demand after three seconds without a request.
-fn idle(mut demand: Demand, now: Division) -> Demand {
+fn idle(mut demand: Demand, current: Division) -> Demand {
     for _ in 0..60 {
-        demand.sample(uses(now, 0, 0, 0).into_iter(), LOOK);
+        demand.sample(uses(current, 0, 0, 0).into_iter(), SAMPLE_INTERVAL);
     }
     demand
 }
 
 #[test]
-fn before_the_first_request_deep_batches_are_divided_by_their_slots() {
-    let now = division(5, 7, 64);
-    let demand = idle(Demand::default(), now);
+fn before_the_first_request_the_division_follows_the_slots() {
+    let current = division(5, 7, 64);
+    let demand = idle(Demand::default(), current);
     let expected = WantedChange {
         changes: 3,
         stage: Stage::Prefill,
         basis: Basis::Slots,
     };
-    assert_eq!(demand.wanted_change(now, true), Some(expected));
+    assert_eq!(demand.wanted_change(current, true), Some(expected));
     // A process that starts anew in a running system doesn't know that it is idle.
-    assert_eq!(demand.wanted_change(now, false), None);
+    assert_eq!(demand.wanted_change(current, false), None);
 }
 
 #[test]
-fn engines_that_are_still_arriving_are_waited_for() {
+fn no_order_is_given_while_engines_still_register() {
     let mut demand = Demand::default();
     for engines in 1..=12 {
-        let now = division(engines / 3, engines - engines / 3, 64);
+        let current = division(engines / 3, engines - engines / 3, 64);
         for _ in 0..10 {
-            demand.sample(uses(now, 0, 0, 0).into_iter(), LOOK);
-            assert_eq!(demand.wanted_change(now, true), None);
+            demand.sample(uses(current, 0, 0, 0).into_iter(), SAMPLE_INTERVAL);
+            assert_eq!(demand.wanted_change(current, true), None);
         }
     }
-    let now = division(4, 8, 64);
-    assert!(idle(demand, now).wanted_change(now, true).is_some());
+    let current = division(4, 8, 64);
+    assert!(idle(demand, current).wanted_change(current, true).is_some());
 }
 
 #[test]
-fn a_swing_of_seconds_gives_no_order() {
-    let now = division(5, 7, 64);
-    let calm = uses(now, 1, 0, 30);
-    let mut demand = demand(&calm, 10);
+fn a_change_of_load_for_seconds_gives_no_order() {
+    let current = division(5, 7, 64);
+    let steady = uses(current, 1, 0, 30);
+    let mut demand = demand(&steady, 10);
     for _ in 0..56 {
-        demand.sample(uses(now, 5, 1, 30).into_iter(), LOOK);
-        assert_eq!(demand.wanted_change(now, false), None);
+        demand.sample(uses(current, 5, 1, 30).into_iter(), SAMPLE_INTERVAL);
+        assert_eq!(demand.wanted_change(current, false), None);
     }
 }
 
 /// A zone with most of the generators is lost.
 #[test]
-fn lost_generators_are_replaced_by_readers() {
-    for (now, changes) in [(division(8, 1, 64), 2), (division(7, 0, 64), 1)] {
-        let uses = match now.generators {
-            0 => uses(division(now.prefill_engines, 1, 64), 3, 0, 0)
-                [..now.prefill_engines as usize]
+fn lost_generators_are_replaced_by_prefill_engines() {
+    for (current, changes) in [(division(8, 1, 64), 2), (division(7, 0, 64), 1)] {
+        let uses = match current.generators {
+            0 => uses(division(current.prefill_engines, 1, 64), 3, 0, 0)
+                [..current.prefill_engines as usize]
                 .to_vec(),
-            _ => uses(now, 3, 0, 40),
+            _ => uses(current, 3, 0, 40),
         };
-        let wanted = demand(&uses, 6).wanted_change(now, false).unwrap();
+        let wanted = demand(&uses, 6).wanted_change(current, false).unwrap();
         assert_eq!(wanted.stage, Stage::Decode);
         assert_eq!(wanted.changes, changes);
     }
 }
 
 #[test]
-fn a_single_engine_is_left_alone() {
-    let now = division(0, 1, 8);
+fn a_single_engine_gets_no_order() {
+    let current = division(0, 1, 8);
     assert_eq!(
-        demand(&uses(now, 0, 1, 8), 20).wanted_change(now, false),
+        demand(&uses(current, 0, 1, 8), 20).wanted_change(current, false),
         None
     );
 }
 
-fn read(holder: &str, until_ms: u64, now_ms: u64) -> LeaseRead {
+fn lease_read(holder: &str, until_ms: u64, now_ms: u64) -> LeaseRead {
     LeaseRead {
         lease: Some(Lease {
             holder: holder.into(),
@@ -160,11 +169,16 @@
     }
 }
 
-const GAP: Duration = Duration::from_secs(3);
+const ORDER_GAP: Duration = Duration::from_secs(3);
 
 #[test]
-fn another_hosts_lease_is_taken_only_a_gap_after_its_end() {
-    let wait = |now| match decide(Duty::Orders, &read("a", 10_000, now), "b", GAP) {
+fn the_lease_of_another_host_is_taken_only_a_gap_after_its_end() {
+    let wait = |now_ms| match decide(
+        Duty::Orders,
+        &lease_read("a", 10_000, now_ms),
+        "b",
+        ORDER_GAP,
+    ) {
         Decision::Wait(pause) => Some(pause),
         Decision::Take(_) => None,
     };
@@ -175,12 +189,22 @@
 }
 
 #[test]
-fn each_lease_has_a_higher_token() {
-    let Decision::Take(lease) = decide(Duty::Orders, &read("a", 10_000, 20_000), "b", GAP) else {
+fn each_taken_lease_has_a_higher_fencing_token() {
+    let Decision::Take(lease) = decide(
+        Duty::Orders,
+        &lease_read("a", 10_000, 20_000),
+        "b",
+        ORDER_GAP,
+    ) else {
         panic!("it is free");
     };
     assert_eq!((lease.holder.as_str(), lease.token), ("b", 8));
-    let Decision::Take(again) = decide(Duty::Orders, &read("a", 10_000, 5_000), "a", GAP) else {
+    let Decision::Take(again) = decide(
+        Duty::Orders,
+        &lease_read("a", 10_000, 5_000),
+        "a",
+        ORDER_GAP,
+    ) else {
         panic!("it is its own");
     };
     assert_eq!(again.token, 8);
--- a/crates/gateway/tests/durations.rs
+++ b/crates/gateway/tests/durations.rs
@@ -8,16 +8,13 @@
 }
 
 fn tokens(expected: u32) -> Length {
-    let most = expected;
-    Length::Tokens {
-        expected,
-        max: most,
-    }
+    let max = expected;
+    Length::Tokens { expected, max }
 }
 
 /// Answers of a length, of which one took 800 ms and the others 100, the first of them two
 /// minutes ago.
-fn seen(length: Length, count: u32) -> Durations {
+fn recorded(length: Length, count: u32) -> Durations {
     let now = Instant::now();
     let mut durations = Durations::default();
     let minutes_ago = now - Duration::from_secs(120);
@@ -29,14 +26,14 @@
     durations
 }
 
-/// The bound as it stands two minutes after the first of [`seen`].
-fn longest(durations: &Durations, length: Length) -> Duration {
+/// The bound as it stands two minutes after the first of [`recorded`].
+fn bound_of(durations: &Durations, length: Length) -> Duration {
     durations.upper_bound(length, Instant::now())
 }
 
 #[test]
-fn the_slowest_of_the_last_minutes_counts_with_a_margin() {
-    let mut durations = seen(tokens(100), 40);
+fn the_bound_is_the_slowest_answer_of_the_last_minutes_plus_a_margin() {
+    let mut durations = recorded(tokens(100), 40);
     let mut now = Instant::now();
     // However many quick ones come beside it.
     for _ in 0..10_000 {
@@ -57,8 +54,8 @@
 }
 
 #[test]
-fn an_answer_that_still_runs_counts_with_its_age() {
-    let mut durations = seen(tokens(100), 40);
+fn a_running_answer_counts_with_its_age() {
+    let mut durations = recorded(tokens(100), 40);
     let now = Instant::now();
     let since = now - Duration::from_secs(5);
     durations.begin(tokens(100), since);
@@ -68,44 +65,44 @@
 }
 
 #[test]
-fn without_enough_answers_a_long_one_is_taken_to_last_long() {
-    let nothing = Durations::default();
-    assert!(longest(&nothing, tokens(10)) < longest(&nothing, tokens(100)));
-    assert!(longest(&nothing, tokens(5000)) > Duration::from_secs(60));
-    assert!(longest(&seen(tokens(100), 3), tokens(100)) > ms(1200));
+fn without_enough_answers_the_default_bound_grows_with_the_length() {
+    let empty = Durations::default();
+    assert!(bound_of(&empty, tokens(10)) < bound_of(&empty, tokens(100)));
+    assert!(bound_of(&empty, tokens(5000)) > Duration::from_secs(60));
+    assert!(bound_of(&recorded(tokens(100), 3), tokens(100)) > ms(1200));
     // Slower than the start value as it may be, what was seen counts, with its margin.
     let mut slow = Durations::default();
     slow.record(tokens(1), Duration::from_secs(30), Instant::now());
-    assert!(longest(&slow, tokens(1)) > Duration::from_secs(40));
+    assert!(bound_of(&slow, tokens(1)) > Duration::from_secs(40));
     // A client's estimate of nothing says nothing.
     let length = Length::Tokens {
         expected: 0,
         max: 300,
     };
-    assert!(longest(&nothing, length) > Duration::from_secs(5));
+    assert!(bound_of(&empty, length) > Duration::from_secs(5));
 }
 
 #[test]
-fn rare_lengths_are_bounded_by_those_next_to_them() {
-    let known = seen(tokens(100), 40);
-    let own = longest(&known, tokens(100));
-    let twice = longest(&known, tokens(200));
+fn rare_lengths_use_answers_of_neighbouring_lengths() {
+    let known = recorded(tokens(100), 40);
+    let own = bound_of(&known, tokens(100));
+    let twice = bound_of(&known, tokens(200));
     // Time goes on between two looks.
     let is_about = |a: Duration, b: Duration| a.abs_diff(b) < ms(10);
     assert!(is_about(twice, own * 2), "twice as long at the most");
-    let half = longest(&known, tokens(30));
+    let half = bound_of(&known, tokens(30));
     assert!(is_about(half, own), "a shorter one takes no longer");
-    assert!(longest(&known, tokens(10_000)) > own * 50);
+    assert!(bound_of(&known, tokens(10_000)) > own * 50);
 }
 
 #[test]
-fn routes_and_engines_answers_tell_nothing_of_each_other() {
+fn routes_and_token_lengths_are_independent_of_each_other() {
     let plain = |route| Length::Plain { route };
     let all = [plain(1), plain(2), tokens(100)];
     for known in all {
-        let durations = seen(known, 40);
+        let durations = recorded(known, 40);
         for other in all {
-            let bound = longest(&durations, other);
+            let bound = bound_of(&durations, other);
             let is_known = (ms(1050)..ms(1200)).contains(&bound);
             assert_eq!(
                 is_known,
@@ -117,18 +114,18 @@
 }
 
 #[test]
-fn of_ever_new_routes_only_some_are_kept() {
+fn the_number_of_routes_is_limited() {
     let mut durations = Durations::default();
     for route in 0..10_000 {
         durations.record(Length::Plain { route }, ms(5000), Instant::now());
     }
-    let told = durations.snapshot("s", Instant::now()).unwrap();
-    let kept = told.routes.len();
+    let snapshot = durations.snapshot("s", Instant::now()).unwrap();
+    let kept = snapshot.routes.len();
     assert!((1..2000).contains(&kept), "{kept}");
 }
 
 #[test]
-fn what_was_watched_for_seconds_only_is_less_sure() {
+fn answers_observed_for_only_seconds_get_a_larger_margin() {
     let start = Instant::now();
     let mut durations = Durations::default();
     for _ in 0..40 {
@@ -142,7 +139,7 @@
 /// Seen: at a high rate sixteen quick answers came within 0.1 s, and 2.3 times the slowest of
 /// them was the bound for the next, below what is taken for granted of an unknown route.
 #[test]
-fn many_quick_answers_of_a_moment_do_not_hide_slow_ones() {
+fn many_quick_answers_at_once_do_not_lower_the_bound() {
     let start = Instant::now();
     for length in [Length::Plain { route: 1 }, tokens(300)] {
         let mut durations = Durations::default();
@@ -160,7 +157,7 @@
 /// Seen: one peer that had watched a service for minutes made a process that had just started
 /// as sure of routes that the peer had never seen.
 #[test]
-fn how_long_one_route_was_watched_says_nothing_of_others() {
+fn the_observed_time_of_one_route_does_not_apply_to_others() {
     let start = Instant::now();
     let (old, new) = (Length::Plain { route: 1 }, Length::Plain { route: 2 });
     let mut peer = Durations::default();
@@ -179,14 +176,14 @@
 }
 
 #[test]
-fn a_process_that_has_just_started_takes_what_another_has_seen() {
+fn a_started_process_merges_the_durations_of_another() {
     let now = Instant::now();
     let plain = Length::Plain { route: 9 };
-    let mut old = seen(tokens(100), 40);
+    let mut old = recorded(tokens(100), 40);
     for _ in 0..40 {
         old.record(plain, ms(900), now);
     }
-    let told = old.snapshot("s", now).unwrap();
+    let snapshot = old.snapshot("s", now).unwrap();
     let mut new = Durations::default();
     // Its own few quick answers bind it no more than they would the other.
     new.record(tokens(100), ms(50), now);
@@ -197,12 +194,12 @@
         new.abs_diff(old) < ms(5)
     };
     assert!(!is_same(&new, tokens(100)));
-    new.merge(&told, now);
+    new.merge(&snapshot, now);
     assert!(is_same(&new, tokens(100)));
     assert!(is_same(&new, plain));
     // Taken again it says the same, and no more is kept than one process keeps.
     for _ in 0..40 {
-        new.merge(&told, now);
+        new.merge(&snapshot, now);
     }
     assert!(is_same(&new, plain));
     let kept = new.snapshot("s", now).unwrap();
--- a/crates/gateway/tests/feeds.rs
+++ b/crates/gateway/tests/feed_readers.rs
@@ -60,8 +60,8 @@
         let count = readers.len();
         assert!((FEED_READERS..=most).contains(&count), "{count} of {hosts}");
         for zone in 0..ZONES {
-            let here = readers.iter().filter(|n| **n % ZONES == zone).count();
-            assert!(here >= 1, "none of {hosts} in zone {zone}");
+            let in_zone = readers.iter().filter(|n| **n % ZONES == zone).count();
+            assert!(in_zone >= 1, "none of {hosts} in zone {zone}");
         }
     }
 }
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_host_that_hears_no_peer_is_alone_after_a_second() {
+fn a_host_without_live_peers_is_isolated_after_a_second() {
     let mut peers = peers(0, 630);
     let now = Instant::now();
     peers.expire(&mut Fleet::default(), now);
--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -3,7 +3,7 @@
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
 
-use common::{Bed, Client, config, exchange, request, routes, start, status, wait_for};
+use common::{Client, TestGateway, config, exchange, request, routes, start, status, wait_for};
 use serde_json::{Value, json};
 use standin::{Act, Worker};
 use std::time::Duration;
@@ -26,14 +26,14 @@
     config
 }
 
-async fn start_closed(workers: usize) -> (Bed, Vec<Worker>) {
+async fn start_closed(workers: usize) -> (TestGateway, Vec<Worker>) {
     let (bed, workers) = start(workers).await;
     put(&bed, &closed(2, &["k-one", "k-two"]), "k-two", 200).await;
     (bed, workers)
 }
 
 /// Writes a configuration and waits until a key is treated by it.
-async fn put(bed: &Bed, config: &Value, key: &str, status: u16) {
+async fn put(bed: &TestGateway, config: &Value, key: &str, status: u16) {
     bed.store.put("op", "config", config);
     let probe = request("GET", "/safe/", "probe", &format!("key: {key}\r\n"), "");
     bed.wait_answer(&probe, status).await;
@@ -157,7 +157,7 @@
 
 #[tokio::test]
 async fn without_a_configuration_nobody_is_told_that_a_key_is_wrong() {
-    let bed = common::start_bare();
+    let bed = common::start_without_config();
     wait_for("the gateway", || async {
         let req = request("GET", "/safe/", "early", KEY, "");
         let res = exchange(bed.callers, &req).await;
@@ -183,7 +183,7 @@
 
 #[tokio::test]
 async fn a_tenants_priority_goes_before_its_routes() {
-    let bed = common::start_bare();
+    let bed = common::start_without_config();
     let engine = bed.add_worker("i-llm", "llm", Some("decode")).await;
     engine.usually(Act::Events(1..=2));
     // The route's own is 1.
@@ -201,7 +201,7 @@
     bed.wait_ready(200).await;
     let mut ranks = Vec::new();
     for name in ["urgent", "usual", "late"] {
-        let more = format!("{}key: k-{name}\r\n", common::FEW_TOKENS);
+        let more = format!("{}key: k-{name}\r\n", common::SHORT_PROMPT_HEADERS);
         let req = request("POST", "/prompt/", name, &more, "x");
         bed.wait_answer(&req, 200).await;
         let seen = engine.seen();
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -3,7 +3,7 @@
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
 
-use common::{Bed, address, config, host, request, routes, start_on, wait_for};
+use common::{TestGateway, address, config, host, request, routes, start_on, wait_for};
 use serde_json::{Value, json};
 use standin::{Act, Store, Worker, fixture};
 use std::net::{IpAddr, SocketAddr};
@@ -29,7 +29,7 @@
     stages: &[&str],
     act: Act,
     prepare: impl FnOnce(&Store),
-) -> (Bed, Vec<Worker>) {
+) -> (TestGateway, Vec<Worker>) {
     let ip = address();
     let store = Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap();
     prepare(&store);
@@ -53,7 +53,7 @@
 }
 
 /// Lets the engines serve, and waits until a prompt is answered.
-async fn wait_served(bed: &Bed, workers: &[Worker]) {
+async fn wait_served(bed: &TestGateway, workers: &[Worker]) {
     for worker in workers {
         worker.usually(Act::Echo);
     }
--- a/crates/gateway/tests/quotas.rs
+++ b/crates/gateway/tests/quotas.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::crashing::System;
-use common::{Bed, FEW_TOKENS, exchange, request, routes, status, wait_for};
+use common::{SHORT_PROMPT_HEADERS, TestGateway, exchange, request, routes, status, wait_for};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -28,7 +28,7 @@
     request("GET", "/safe/", id, &more, "")
 }
 
-async fn answer(bed: &Bed, id: &str, tenant: &str) -> String {
+async fn answer(bed: &TestGateway, id: &str, tenant: &str) -> String {
     exchange(bed.callers, &text(id, tenant)).await
 }
 
@@ -131,7 +131,7 @@
     let bed = &system.hosts[0];
     // No engine is registered, so a prompt fails after its cost is granted.
     for n in 0..200 {
-        let more = format!("key: key-narrow\r\n{FEW_TOKENS}");
+        let more = format!("key: key-narrow\r\n{SHORT_PROMPT_HEADERS}");
         let text = request("POST", "/prompt/", &format!("p-{n}"), &more, "x");
         let res = exchange(bed.callers, &text).await;
         assert_eq!(status(&res), 503, "{res}");
--- a/crates/gateway/tests/restarts.rs
+++ b/crates/gateway/tests/restarts.rs
@@ -4,7 +4,10 @@
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
 
-use common::{Bed, address, config, exchange, host, request, routes, start, start_bare, start_on};
+use common::{
+    TestGateway, address, config, exchange, host, request, routes, start, start_on,
+    start_without_config,
+};
 use common::{status, wait_for};
 use serde_json::json;
 use standin::{Act, Seen, Store, Worker, fixture};
@@ -16,14 +19,14 @@
 const FIRST: u64 = 1_700_000_000_000;
 const SECOND: u64 = FIRST + 5000;
 
-async fn worker_since(bed: &Bed, id: &str, born: u64, state: &str) -> Worker {
+async fn worker_since(bed: &TestGateway, id: &str, born: u64, state: &str) -> Worker {
     let addr = SocketAddr::new(IpAddr::V4(address()), 7100);
     let worker = Worker::start_since(addr, id, born).await.unwrap();
     put_since(bed, &worker, id, born, state);
     worker
 }
 
-fn put_since(bed: &Bed, worker: &Worker, id: &str, born: u64, state: &str) {
+fn put_since(bed: &TestGateway, worker: &Worker, id: &str, born: u64, state: &str) {
     let row = fixture::worker_since(born, "plain", worker.addr, state);
     bed.store.put("servers", id, &row);
 }
@@ -35,7 +38,7 @@
 #[tokio::test]
 async fn an_upstream_that_drained_and_started_again_is_used() {
     for born in [SECOND, FIRST - 5000] {
-        let bed = start_bare();
+        let bed = start_without_config();
         let mut worker = worker_since(&bed, "i-0", FIRST, "ready").await;
         bed.store.put("op", "config", &config(1, &routes()));
         bed.wait_answer(&get("before"), 200).await;
@@ -144,7 +147,7 @@
 
 #[tokio::test]
 async fn what_the_earlier_start_has_read_is_taken_by_no_engine() {
-    let bed = start_bare();
+    let bed = start_without_config();
     let reader = engine(&bed, "i-read", "prefill").await;
     let generator = engine(&bed, "i-0", "decode").await;
     generator.usually(Act::Events(1..=2));
@@ -180,14 +183,14 @@
     .await;
 }
 
-async fn engine(bed: &Bed, id: &str, stage: &str) -> Worker {
+async fn engine(bed: &TestGateway, id: &str, stage: &str) -> Worker {
     let addr = SocketAddr::new(IpAddr::V4(address()), 7100);
     let worker = Worker::start_since(addr, id, FIRST).await.unwrap();
     put_engine(bed, &worker, id, FIRST, stage);
     worker
 }
 
-fn put_engine(bed: &Bed, worker: &Worker, id: &str, born: u64, stage: &str) {
+fn put_engine(bed: &TestGateway, worker: &Worker, id: &str, born: u64, stage: &str) {
     let mut row = fixture::worker_since(born, "llm", worker.addr, "ready");
     row["Stage"] = json!(stage);
     bed.store.put("servers", id, &row);
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/routes_and_events.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_route_is_found_as_by_looking_at_all() {
+fn the_route_table_finds_the_same_route_as_a_linear_scan() {
     let segment = "[ab]{1,2}";
     let prefix = proptest::collection::vec(segment, 0..3)
         .prop_map(|s| s.iter().fold("/".to_owned(), |p, s| format!("{p}{s}/")));
@@ -44,49 +44,52 @@
 }
 
 #[test]
-fn events_are_cut_alike_however_the_bytes_come() {
-    let cuts = proptest::collection::vec(1usize..9, 1..60);
+fn events_are_split_the_same_way_for_any_chunk_sizes() {
+    let chunk_lens = proptest::collection::vec(1usize..9, 1..60);
     runner()
-        .run(&(1u64..8, cuts, any::<bool>()), |(count, cuts, torn)| {
-            let event = |n| format!("id: {n}\ndata: x{n}\n\n");
-            let whole: String = (1..=count).map(event).collect();
-            let mut text = whole.clone();
-            if torn {
-                text.push_str("id: 99\ndata: to");
-            }
-            let mut cutter = EventSplitter::after(None);
-            let mut out = Vec::new();
-            let mut rest = text.as_bytes();
-            for cut in cuts.iter().cycle() {
-                let at = (*cut).min(rest.len());
-                out.extend_from_slice(&cutter.push(&rest[..at]).unwrap());
-                rest = &rest[at..];
-                if rest.is_empty() {
-                    break;
+        .run(
+            &(1u64..8, chunk_lens, any::<bool>()),
+            |(count, chunk_lens, is_truncated)| {
+                let event = |n| format!("id: {n}\ndata: x{n}\n\n");
+                let complete: String = (1..=count).map(event).collect();
+                let mut text = complete.clone();
+                if is_truncated {
+                    text.push_str("id: 99\ndata: to");
                 }
-            }
-            prop_assert_eq!(out, whole.into_bytes());
-            prop_assert_eq!(cutter.last_id(), Some(count));
-            prop_assert_eq!(cutter.is_mid_event(), torn);
-            Ok(())
-        })
+                let mut splitter = EventSplitter::after(None);
+                let mut out = Vec::new();
+                let mut rest = text.as_bytes();
+                for len in chunk_lens.iter().cycle() {
+                    let at = (*len).min(rest.len());
+                    out.extend_from_slice(&splitter.push(&rest[..at]).unwrap());
+                    rest = &rest[at..];
+                    if rest.is_empty() {
+                        break;
+                    }
+                }
+                prop_assert_eq!(out, complete.into_bytes());
+                prop_assert_eq!(splitter.last_id(), Some(count));
+                prop_assert_eq!(splitter.is_mid_event(), is_truncated);
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
 #[test]
-fn events_that_were_passed_on_are_left_out_and_a_gap_is_seen() {
-    let mut cutter = EventSplitter::after(Some(2));
-    let out = cutter
+fn events_that_were_already_relayed_are_skipped_and_a_gap_is_an_error() {
+    let mut splitter = EventSplitter::after(Some(2));
+    let out = splitter
         .push(b"id: 1\nx\n\nid: 2\nx\n\nid: 3\ny\n\n")
         .unwrap();
     assert_eq!(&out[..], b"id: 3\ny\n\n");
-    assert!(cutter.push(b"id: 5\nz\n\n").is_err());
+    assert!(splitter.push(b"id: 5\nz\n\n").is_err());
 }
 
 #[test]
-fn events_before_a_gap_are_asked_for_again() {
-    let mut cutter = EventSplitter::after(Some(2));
-    assert!(cutter.push(b"id: 3\n\nid: 4\n\nid: 6\n\n").is_err());
+fn events_of_a_chunk_with_a_gap_are_not_counted_as_relayed() {
+    let mut splitter = EventSplitter::after(Some(2));
+    assert!(splitter.push(b"id: 3\n\nid: 4\n\nid: 6\n\n").is_err());
     // None of them was passed on, so the stream goes on after 2.
-    assert_eq!(cutter.last_id(), Some(2));
+    assert_eq!(splitter.last_id(), Some(2));
 }
--- a/crates/gateway/tests/ending.rs
+++ b/crates/gateway/tests/shutdown_schedule.rs
@@ -10,26 +10,32 @@
 }
 
 #[test]
-fn the_moments_follow_each_other_whatever_the_grace() {
+fn the_points_in_time_are_in_order_for_any_grace_period() {
     let now = Instant::now();
     for grace in [0.0, 0.1, 0.25, 1.0, 3.0, 8.0, 60.0] {
-        let ending = ShutdownSchedule::new(now, now, secs(grace));
+        let schedule = ShutdownSchedule::new(now, now, secs(grace));
         let order = [
             now,
-            ending.drain_at,
-            ending.close_at,
-            ending.exit_at.max(ending.close_at),
+            schedule.drain_at,
+            schedule.close_at,
+            schedule.exit_at.max(schedule.close_at),
         ];
-        assert!(order.is_sorted(), "grace of {grace} s: {ending:?}");
-        assert!(ending.finish_by >= now, "grace of {grace} s");
-        assert!(ending.finish_by <= ending.refuse_at, "grace of {grace} s");
-        assert!(ending.refuse_at <= ending.abort_at, "grace of {grace} s");
-        assert!(ending.drain_at <= now + secs(grace), "grace of {grace} s");
+        assert!(order.is_sorted(), "grace of {grace} s: {schedule:?}");
+        assert!(schedule.finish_by >= now, "grace of {grace} s");
+        assert!(
+            schedule.finish_by <= schedule.refuse_at,
+            "grace of {grace} s"
+        );
+        assert!(
+            schedule.refuse_at <= schedule.abort_at,
+            "grace of {grace} s"
+        );
+        assert!(schedule.drain_at <= now + secs(grace), "grace of {grace} s");
     }
 }
 
 #[test]
-fn a_signal_that_came_during_a_standstill_may_be_as_old_as_that() {
+fn a_signal_seen_after_a_stall_may_be_as_old_as_the_stall() {
     let start = Instant::now();
     let mut stalls = StallDetector::new(start);
     let mut now = start;
@@ -38,35 +44,35 @@
         stalls.tick(now);
     }
     assert_eq!(stalls.earliest_signal(now + secs(0.01)), now + secs(0.01));
-    let asleep = now + secs(0.01);
-    let awake = asleep + secs(5.0);
+    let paused_at = now + secs(0.01);
+    let resumed_at = paused_at + secs(5.0);
     // Whether a timer or the signal is seen first.
-    stalls.tick(awake);
-    let seen = awake + secs(0.05);
-    let earliest = stalls.earliest_signal(seen);
-    assert_eq!(earliest, asleep);
-    let ending = ShutdownSchedule::new(seen, earliest, GRACE);
-    let left = ending.finish_by - seen;
+    stalls.tick(resumed_at);
+    let signal_seen = resumed_at + secs(0.05);
+    let earliest = stalls.earliest_signal(signal_seen);
+    assert_eq!(earliest, paused_at);
+    let schedule = ShutdownSchedule::new(signal_seen, earliest, GRACE);
+    let left = schedule.finish_by - signal_seen;
     let bounds = secs(2.0)..secs(3.0);
     assert!(
         bounds.contains(&left),
         "it may be killed 3 s from now: {left:?}"
     );
     // What runs isn't broken off for it.
-    assert!(ending.abort_at > seen + secs(7.0));
+    assert!(schedule.abort_at > signal_seen + secs(7.0));
     // Long after it a signal is as old as it seems.
-    let later = awake + secs(2.0);
-    let mut beat = awake;
-    while beat < later {
-        beat += secs(0.02);
-        stalls.tick(beat);
+    let later = resumed_at + secs(2.0);
+    let mut tick = resumed_at;
+    while tick < later {
+        tick += secs(0.02);
+        stalls.tick(tick);
     }
-    assert_eq!(stalls.earliest_signal(beat), beat);
+    assert_eq!(stalls.earliest_signal(tick), tick);
 }
 
 /// A host that was frozen for 3 s took datagrams from before for news.
 #[test]
-fn what_waited_while_a_process_stood_still_is_known() {
+fn datagrams_that_may_have_waited_during_a_stall_are_recognized() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut stalls = StallDetector::new(start);
--- a/crates/gateway/tests/splits.rs
+++ b/crates/gateway/tests/splits.rs
@@ -3,15 +3,15 @@
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
 
-use common::{Bed, config, exchange, request, routes, start_bare, status};
+use common::{TestGateway, config, exchange, request, routes, start_without_config, status};
 use standin::{Act, Worker};
 
 /// Prompts that are sent one after the other.
 const PROMPTS: u32 = 12;
 
 /// A gateway before two readers, where all prompts are read, and two generators.
-async fn start_split() -> (Bed, [Worker; 2], [Worker; 2]) {
-    let bed = start_bare();
+async fn start_split() -> (TestGateway, [Worker; 2], [Worker; 2]) {
+    let bed = start_without_config();
     let readers = [
         bed.add_worker("i-read-0", "llm", Some("prefill")).await,
         bed.add_worker("i-read-1", "llm", Some("prefill")).await,
@@ -26,12 +26,12 @@
     generators[1].usually(Act::Events(1..=2));
     bed.store.put("op", "config", &config(1, &routes()));
     bed.wait_ready(200).await;
-    bed.wait_retries(&bed.store).await;
+    bed.wait_for_retry_budget(&bed.store).await;
     (bed, readers, generators)
 }
 
 /// Sends prompts that may go on elsewhere; all must be answered.
-async fn send_prompts(bed: &Bed) {
+async fn send_prompts(bed: &TestGateway) {
     for part in 1..=PROMPTS {
         let more =
             format!("model: m\r\ntoken-counts: 100,9\r\nprompt-prefix: {part:x}:50,ffff:50\r\n");
--- a/crates/gateway/tests/first_look.rs
+++ b/crates/gateway/tests/startup_load.rs
@@ -7,20 +7,20 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use common::crashing::System;
-use common::{Bed, address, exchange, host, request, start_on, status, wait_for};
+use common::{TestGateway, address, exchange, host, request, start_on, status, wait_for};
 use standin::Store;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// Rows of a page.
 const PAGE_ROWS: usize = 100;
 /// More rows than fit on a page, so that a starting host asks its peers.
-const ROWS: usize = 120;
+const PROCESSES: usize = 120;
 const PEER_PORT: u16 = 7002;
 
-/// Writes the rows of [`ROWS`] processes, all with the same address.
+/// Writes the rows of [`PROCESSES`] processes, all with the same address.
 fn write_rows(system: &System, ip: Ipv4Addr) {
     system.store.set_page_rows(PAGE_ROWS);
-    for n in 0..ROWS {
+    for n in 0..PROCESSES {
         let value = STANDARD.encode(format!("{ip} zone-a"));
         system
             .store
@@ -28,28 +28,28 @@
     }
 }
 
-fn own_ip(bed: &Bed) -> Ipv4Addr {
-    match bed.host.ip {
+fn own_ip(gateway: &TestGateway) -> Ipv4Addr {
+    match gateway.host.ip {
         IpAddr::V4(ip) => ip,
         IpAddr::V6(ip) => panic!("{ip}"),
     }
 }
 
 /// Number of calls to the store for a table and kind, from a host's metrics.
-async fn store_calls(bed: &Bed, table: &str, kind: &str) -> u64 {
-    let text = exchange(bed.ready, "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
+async fn store_calls(gateway: &TestGateway, table: &str, kind: &str) -> u64 {
+    let text = exchange(gateway.ready, "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
     let (table, kind) = (format!("table=\"{table}\""), format!("kind=\"{kind}\""));
     let lines = text
         .lines()
         .filter(|l| l.starts_with("arbutusquay_store_calls{"));
-    let ours = lines.filter(|l| l.contains(&table) && l.contains(&kind));
+    let matching = lines.filter(|l| l.contains(&table) && l.contains(&kind));
     let count = |l: &str| l.rsplit(' ').next().and_then(|n| n.parse::<u64>().ok());
-    ours.filter_map(count).sum()
+    matching.filter_map(count).sum()
 }
 
-async fn assert_serves(bed: &Bed) {
-    bed.wait_ready(200).await;
-    let res = exchange(bed.callers, &request("GET", "/safe/", "r", "", "")).await;
+async fn assert_serves(gateway: &TestGateway) {
+    gateway.wait_ready(200).await;
+    let res = exchange(gateway.callers, &request("GET", "/safe/", "r", "", "")).await;
     assert_eq!(status(&res), 200, "{res}");
 }
 
@@ -76,20 +76,20 @@
 }
 
 #[tokio::test]
-async fn a_row_with_another_address_is_replaced() {
+async fn a_process_row_with_another_address_is_replaced() {
     let mut system = System::start(0, 1).await;
     let ip = address();
     let own = Store::start(SocketAddr::new(IpAddr::V4(ip), 7004)).unwrap();
     let host = host(ip, system.store.addr);
     let row = |ip: Ipv4Addr| STANDARD.encode(format!("{ip} zone-a"));
-    let former = row(Ipv4Addr::LOCALHOST);
-    system.store.put_raw("processes", &host.name, &former);
-    let bed = start_on(host, own);
+    let former_row = row(Ipv4Addr::LOCALHOST);
+    system.store.put_raw("processes", &host.name, &former_row);
+    let gateway = start_on(host, own);
     wait_for("its row", || async {
-        system.store.raw("processes", &bed.host.name) == Some(row(ip))
+        system.store.raw("processes", &gateway.host.name) == Some(row(ip))
     })
     .await;
-    system.hosts.push(bed);
+    system.hosts.push(gateway);
 }
 
 #[tokio::test]
@@ -97,7 +97,7 @@
     let mut system = System::start(0, 1).await;
     write_rows(&system, address());
     system.add_host(PEER_PORT).await;
-    let bed = &system.hosts[0];
-    assert_serves(bed).await;
-    assert!(store_calls(bed, "registry", "read").await > 0);
+    let gateway = &system.hosts[0];
+    assert_serves(gateway).await;
+    assert!(store_calls(gateway, "registry", "read").await > 0);
 }
--- a/crates/gateway/tests/state.rs
+++ b/crates/gateway/tests/state.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    Client, address, config, exchange, host, request, routes, start, start_bare, start_on, status,
-    wait_for,
+    Client, address, config, exchange, host, request, routes, start, start_on,
+    start_without_config, status, wait_for,
 };
 use serde_json::json;
 use standin::{Act, Mode, Store};
@@ -14,7 +14,7 @@
 
 #[tokio::test]
 async fn without_a_configuration_nothing_is_called_unknown() {
-    let bed = start_bare();
+    let bed = start_without_config();
     bed.wait_ready(503).await;
     let text = exchange(bed.callers, &request("GET", "/safe/", "id-1", "", "")).await;
     assert_eq!(status(&text), 503);
@@ -25,7 +25,7 @@
 
 #[tokio::test]
 async fn a_client_that_is_refused_is_answered_and_its_connection_closed() {
-    let bed = start_bare();
+    let bed = start_without_config();
     let mut client = Client::connect(bed.callers).await;
     client.send(&request("GET", "/safe/", "id-1", "", "")).await;
     let (text, in_order) = client.read_to_end().await;
@@ -213,8 +213,8 @@
     let ip = address();
     let refusing = Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap();
     let cut = start_on(host(ip, refusing.addr), refusing);
-    let name = |bed: &common::Bed| bed.host.name.clone();
-    let row = |bed: &common::Bed| json!(bed.host.ip.to_string());
+    let name = |bed: &common::TestGateway| bed.host.name.clone();
+    let row = |bed: &common::TestGateway| json!(bed.host.ip.to_string());
     // The rows hold plain text and not JSON, as each process writes its own.
     assert_ne!(name(&served), name(&cut));
     let _ = row(&served);
@@ -293,7 +293,7 @@
     let text = running.await.unwrap();
     assert!(text.ends_with("late"), "{text}");
     assert!(text.contains("connection: close"), "{text}");
-    tokio::time::timeout(common::PATIENCE, &mut bed.task)
+    tokio::time::timeout(common::WAIT_TIMEOUT, &mut bed.task)
         .await
         .expect("in time")
         .unwrap();
@@ -344,7 +344,7 @@
     assert!(text.contains("\"error\":\"stopping\""), "{text}");
     assert!(text.contains("retry-after"), "{text}");
     assert_eq!(engine.seen().len(), seen);
-    tokio::time::timeout(common::PATIENCE, &mut bed.task)
+    tokio::time::timeout(common::WAIT_TIMEOUT, &mut bed.task)
         .await
         .expect("in time")
         .unwrap();
@@ -378,7 +378,7 @@
 
 #[tokio::test]
 async fn a_registry_of_many_pages_is_read_though_each_third_call_is_refused() {
-    let bed = start_bare();
+    let bed = start_without_config();
     bed.store.set_mode(Mode::RefuseThird(429));
     bed.store.set_page_rows(3);
     let gone = SocketAddr::new(IpAddr::V4(address()), 7300);
@@ -395,7 +395,7 @@
 
 #[tokio::test]
 async fn a_registry_of_many_pages_is_read_in_full_when_its_history_is_gone() {
-    let bed = start_bare();
+    let bed = start_without_config();
     bed.store.set_page_rows(3);
     let gone = SocketAddr::new(IpAddr::V4(address()), 7300);
     for n in 0..20 {
--- a/crates/gateway/tests/stop_estimates.rs
+++ b/crates/gateway/tests/stop_estimates.rs
@@ -4,7 +4,7 @@
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
 
-use common::{Bed, Client, LAST_MOMENT, exchange, request, start, status};
+use common::{Client, LATE_IN_SHUTDOWN, TestGateway, exchange, request, start, status};
 use standin::{Act, Worker};
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 /// Serves some calls of a route that take a time.
-async fn serve_calls(bed: &Bed, workers: &[Worker], path: &str, time: Duration) {
+async fn serve_calls(bed: &TestGateway, workers: &[Worker], path: &str, time: Duration) {
     for worker in workers {
         worker.usually(after(time, 200, "done"));
     }
@@ -38,7 +38,7 @@
         assert_eq!(status(&exchange(bed.callers, &req).await), 404);
     }
     workers[0].usually(after(3 * SECOND, 200, "done"));
-    let _held = bed.stop_and_wait(&engine, LAST_MOMENT).await;
+    let _held = bed.stop_and_wait(&engine, LATE_IN_SHUTDOWN).await;
     let req = request("POST", "/unsafe/", "late", "", "x");
     assert_eq!(status(&exchange(bed.callers, &req).await), 503);
 }
@@ -77,7 +77,7 @@
     client.send(&req).await;
     tokio::time::sleep(3 * SECOND).await;
     assert!(client.read().await.len() > 24 << 20);
-    let _held = bed.stop_and_wait(&engine, LAST_MOMENT).await;
+    let _held = bed.stop_and_wait(&engine, LATE_IN_SHUTDOWN).await;
     let req = request("POST", "/unsafe/", "late", "", "x");
     assert_eq!(status(&exchange(bed.callers, &req).await), 200);
 }
--- a/crates/gateway/tests/stops.rs
+++ b/crates/gateway/tests/stops.rs
@@ -12,7 +12,7 @@
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
 
-use common::{Bed, Client, FEW_TOKENS, LAST_MOMENT, request, start, status};
+use common::{Client, LATE_IN_SHUTDOWN, SHORT_PROMPT_HEADERS, TestGateway, request, start, status};
 use standin::{Act, Worker};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -32,14 +32,14 @@
 
 /// Sends requests on new connections until the host takes none, and collects what came
 /// of each: its id, and all that its connection brought.
-async fn send_until_the_end(bed: &Bed, path: &str, more: &str) -> Vec<(String, String)> {
+async fn send_until_the_end(bed: &TestGateway, path: &str, more: &str) -> Vec<(String, String)> {
     let mut sent: Vec<(String, JoinHandle<String>)> = Vec::new();
     // Requests must not wait for each other, and none may keep the host from ending.
     while let Ok(tcp) = TcpStream::connect(bed.callers).await {
         let id = format!("late-{}", sent.len());
         let text = request("POST", path, &id, more, "x");
         let read = tokio::spawn(async move {
-            let mut client = Client::over(tcp);
+            let mut client = Client::new(tcp);
             client.send(&text).await;
             client.read_to_end().await.0
         });
@@ -55,7 +55,7 @@
 
 /// Sends a request each 100 ms for a second and a half, in which time for an answer of the
 /// usual length runs out; gives what came of each.
-async fn send_for_a_second(bed: &Bed, path: &str, more: &str) -> Vec<(String, String)> {
+async fn send_for_a_second(bed: &TestGateway, path: &str, more: &str) -> Vec<(String, String)> {
     let mut sent = Vec::new();
     for n in 0..15 {
         let id = format!("late-{n}");
@@ -77,7 +77,7 @@
 }
 
 /// Lets a host answer some requests, so that it learns how long answers take.
-async fn serve_some(bed: &Bed, path: &str, more: &str) {
+async fn serve_some(bed: &TestGateway, path: &str, more: &str) {
     for round in 0..ROUNDS {
         for text in bed
             .exchange_many(path, &format!("early-{round}"), more, AT_ONCE)
@@ -95,7 +95,7 @@
 
 /// Stops a host and sends it requests until its end: each must be answered whole, or refused
 /// as not run and never have reached the upstream.
-async fn stops_whole(mut bed: Bed, upstream: &Worker, path: &str, more: &str) {
+async fn stops_whole(mut bed: TestGateway, upstream: &Worker, path: &str, more: &str) {
     bed.stop.stop();
     let answers = send_until_the_end(&bed, path, more).await;
     let reached = upstream.seen();
@@ -128,8 +128,8 @@
     ends(&mut bed).await;
 }
 
-async fn ends(bed: &mut Bed) {
-    tokio::time::timeout(common::PATIENCE, &mut bed.task)
+async fn ends(bed: &mut TestGateway) {
+    tokio::time::timeout(common::WAIT_TIMEOUT, &mut bed.task)
         .await
         .expect("in time")
         .unwrap();
@@ -173,7 +173,7 @@
     let probe = request("POST", "/prompt/", "probe", TOKENS, "x");
     bed.wait_answer(&probe, 200).await;
     serve_some(&bed, "/prompt/", TOKENS).await;
-    let _held = bed.stop_and_wait(&generator, LAST_MOMENT).await;
+    let _held = bed.stop_and_wait(&generator, LATE_IN_SHUTDOWN).await;
     // There is time for a prompt and its answer as they were so far, but from now on prompts
     // are read far more slowly, and then no time is left.
     let read = Act::Prefilled("handle".into());
@@ -196,7 +196,7 @@
 async fn a_broken_stream_goes_on_elsewhere_only_if_its_rest_will_end() {
     let (mut bed, workers) = start(2).await;
     let engine = bed.add_worker("i-llm", "llm", Some("decode")).await;
-    let probe = request("POST", "/prompt/", "probe", FEW_TOKENS, "x");
+    let probe = request("POST", "/prompt/", "probe", SHORT_PROMPT_HEADERS, "x");
     bed.wait_answer(&probe, 200).await;
     for worker in &workers {
         worker.usually(Act::Paced(1..=PIECES.into(), ANSWER / PIECES));
@@ -213,7 +213,7 @@
         let all = workers.iter().flat_map(|w| w.seen());
         all.filter(|s| s.id() == id).count()
     };
-    let _held = bed.stop_and_wait(&engine, LAST_MOMENT).await;
+    let _held = bed.stop_and_wait(&engine, LATE_IN_SHUTDOWN).await;
     // They break off when the rest, like all answers so far, would end too late.
     let mut left_alone = 0;
     for (id, text) in send_for_a_second(&bed, "/resumable/", "").await {
@@ -232,9 +232,9 @@
 async fn a_request_whose_body_never_ends_is_answered_before_the_process_ends() {
     let (mut bed, _workers) = start(1).await;
     let engine = bed.add_worker("i-llm", "llm", Some("decode")).await;
-    let probe = request("POST", "/prompt/", "probe", FEW_TOKENS, "x");
+    let probe = request("POST", "/prompt/", "probe", SHORT_PROMPT_HEADERS, "x");
     bed.wait_answer(&probe, 200).await;
-    let _held = bed.stop_and_wait(&engine, LAST_MOMENT).await;
+    let _held = bed.stop_and_wait(&engine, LATE_IN_SHUTDOWN).await;
     let whole = request("POST", "/unsafe/", "late", "", "half of it");
     let mut client = Client::connect(bed.callers).await;
     client.send(whole.strip_suffix(" of it").unwrap()).await;
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -3,7 +3,7 @@
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
 
-use common::{Bed, address, exchange, host, request, routes, start_on, status, wait_for};
+use common::{TestGateway, address, exchange, host, request, routes, start_on, status, wait_for};
 use platform::{CloudBounds, Host, UsageBounds};
 use serde_json::{Value, json};
 use standin::{Act, Cloud, CloudCall, CloudMode, Mode, Store, Worker};
@@ -23,7 +23,7 @@
 
 /// So many gateways before one store, one platform and two workers.
 struct Fleet {
-    beds: Vec<Bed>,
+    beds: Vec<TestGateway>,
     store: Store,
     cloud: Cloud,
     _workers: Vec<Worker>,
@@ -77,7 +77,7 @@
         let unused = Store::start(at(7003)).unwrap();
         let bed = start_on(host, unused);
         bed.wait_ready(200).await;
-        bed.wait_retries(&self.store).await;
+        bed.wait_for_retry_budget(&self.store).await;
         self.beds.push(bed);
     }
 
