--- a/crates/gateway/tests/bad_requests.rs
+++ b/crates/gateway/tests/bad_requests.rs
@@ -1,4 +1,4 @@
-//! Bad input: a clear answer, and nothing passed on.
+//! Tests that invalid requests get a specific error and aren't forwarded.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -97,7 +97,7 @@
         client.send(&text).await;
         client.read_to_end().await;
     }
-    // What follows on the same worker comes after anything smuggled would have.
+    // A request sent afterwards to the same worker arrives after any smuggled one.
     exchange(gateway.callers, &request("GET", "/safe/", "last", "", "")).await;
     let seen = workers[0].seen();
     assert!(
--- a/crates/gateway/tests/cache.rs
+++ b/crates/gateway/tests/cache.rs
@@ -1,4 +1,4 @@
-//! What engines are taken to hold, and where prompts go by it.
+//! Tests the estimate of what engines have cached, and the choice of engines that follows from it.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -37,7 +37,7 @@
         .run(&sends, |sends| {
             let mut cache = CacheEstimate::default();
             let since = Instant::now();
-            // A naive cache: parts in the order of their use, the latest last.
+            // A simple reference cache: parts in order of use, the most recent last.
             let mut naive: Vec<PromptPart> = Vec::new();
             for (n, (id, tokens)) in sends.into_iter().enumerate() {
                 let known = naive.iter().position(|p| p.id == id);
@@ -57,12 +57,12 @@
         .unwrap();
 }
 
-/// Where a prompt goes, and how many of its tokens are read there.
+/// Returns the engine for a prompt, and the number of tokens that it has to prefill.
 fn choose_instance(gateway: &Gateway, parts: &[PromptPart]) -> Option<(String, u32)> {
     plan_for(gateway, parts).map(|plan| (plan.instance, plan.inputs.uncached))
 }
 
-/// The plan for a prompt of shared and own tokens, against a latency target of 0.8 s.
+/// Returns the plan for a prompt with shared and own tokens and a latency target of 0.8 s.
 fn plan_for(gateway: &Gateway, parts: &[PromptPart]) -> Option<Box<Plan>> {
     let service = gateway.fleet().intern_service("s");
     let requirements = Requirements {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Eight readers and four generators that have just started.
+/// Returns a gateway with eight prefill-only engines and four generators that have just started.
 fn gateway_with_new_engines() -> Arc<Gateway> {
     let gateway = gateway_with(&[]);
     gateway.fleet().assume_empty_caches();
@@ -99,8 +99,8 @@
     gateway.add_load(key, tokens, false)
 }
 
-/// Histories of 13,300 shared and 3,720 own tokens, 45 of them over eight readers: one
-/// reader often has a queue while most have none.
+/// Uses histories of 13,300 shared and 3,720 own tokens. With 45 such histories on eight
+/// prefill-only engines, one engine often has a queue while most have none.
 #[test]
 fn a_prompt_whose_home_has_a_queue_is_prefilled_at_its_second_home() {
     let gateway = gateway_with_new_engines();
@@ -113,14 +113,14 @@
         choose_instance(&gateway, &prompt),
         Some((home.clone(), 3_720))
     );
-    // A short queue is waited for: the shared part would have to be read anew.
+    // Waiting for a short queue is faster than prefilling the shared part again.
     let short = add_load(&gateway, &home, 300);
     assert_eq!(
         choose_instance(&gateway, &prompt),
         Some((home.clone(), 3_720))
     );
     let long = add_load(&gateway, &home, 12_000);
-    // It fetches the shared part from the home, in some 10 ms in place of 360.
+    // It fetches the shared part from the home in about 10 ms instead of prefilling it in 360 ms.
     let (second, uncached) = choose_instance(&gateway, &prompt).unwrap();
     assert_ne!(second, home);
     assert_eq!(uncached, 3_720);
@@ -131,7 +131,7 @@
     assert_eq!(choose_instance(&gateway, &prompt), Some((home, 3_720)));
 }
 
-/// Twenty generators hold all their slots: who is read sooner waits for a slot all the
+/// Generators hold all their slots, so a prompt that is prefilled sooner waits for a slot all the
 /// same.
 #[test]
 fn the_second_home_is_not_used_while_generators_are_the_bottleneck() {
@@ -148,12 +148,12 @@
             busy.push(load);
         }
     }
-    // 60 ms of queue, against more than that until a slot is free.
+    // A queue of 60 ms, which is less than the time until a slot is free.
     let _queue = add_load(&gateway, &home, 2_200);
     assert_eq!(choose_instance(&gateway, &prompt).map(|s| s.0), Some(home));
 }
 
-/// The largest tenth of a class: its own reading takes longer than the target.
+/// A prompt of the largest tenth of a class, whose own prefill takes longer than the target.
 #[test]
 fn a_prompt_too_large_for_its_target_is_prefilled_where_there_is_no_queue() {
     let gateway = gateway_with_new_engines();
@@ -165,7 +165,7 @@
     assert_eq!(
         choose_instance(&gateway, &prompt),
         None,
-        "{home} and the others have queues"
+        "{home} and all other engines have queues"
     );
     drop(queues);
     assert!(choose_instance(&gateway, &prompt).is_some());
@@ -183,7 +183,7 @@
     assert_eq!(placements.len(), 1);
     b.fleet().merge_placements(&placements, false, now);
     assert_eq!(choose_instance(&b, &prompt), Some((home.clone(), 100)));
-    // What was placements long ago is placements no more.
+    // Old placements aren't sent again.
     let later = now + Duration::from_secs(2);
     assert!(
         a.fleet()
@@ -201,7 +201,7 @@
     assert_eq!(choose_instance(&b, &prompt), Some((home, 1000)));
 }
 
-/// A process that starts anew in a running system takes homes to hold their parts.
+/// A process that restarts in a running system assumes that homes have cached their parts.
 #[test]
 fn engines_started_before_this_process_are_assumed_to_cache_their_home_parts() {
     let gateway = gateway_with(&[Stage::Prefill, Stage::Prefill, Stage::Decode]);
--- a/crates/gateway/tests/choose.rs
+++ b/crates/gateway/tests/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream, and the estimates that it rests on.
+//! Tests the choice of an upstream, and the latency estimates that it is based on.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -23,7 +23,7 @@
             tokens: f64::from((n * 997) % 30_000),
             slot_turnovers: f64::from(n % 3) / 2.0,
         };
-        // Every fifth takes a little longer, every fifth a little less.
+        // One sample in five takes a little longer, and one in five a little less.
         let noise = [0.0, 3.0, 0.0, -3.0, 0.0][(n % 5) as usize];
         model.add_sample(backlog, true_ms(backlog) + noise);
     }
@@ -91,11 +91,11 @@
     let mut fleet = Fleet::default();
     let meter = Meter::default();
     let MergeOutcome::Added(key) = fleet.merge(instance(1, Stage::Decode), &meter) else {
-        panic!("it is new");
+        panic!("the upstream should be new");
     };
     assert!(fleet.remove(key).is_some());
     let MergeOutcome::Added(next) = fleet.merge(instance(2, Stage::Decode), &meter) else {
-        panic!("it is new");
+        panic!("the upstream should be new");
     };
     assert!(fleet.get(key).is_none());
     assert!(fleet.remove(key).is_none());
@@ -152,7 +152,7 @@
         .map(|part| choose_instance(&b, part).unwrap())
         .collect();
     assert_eq!(homes, others);
-    // Two that only read, by their weight, and seven others share 1,000 parts.
+    // Two prefill-only engines, by their weight, and seven others share 1,000 parts.
     let weights = 2.0 * PREFILL_WEIGHT + 7.0;
     let homes_at = |id: &str| homes.iter().filter(|h| *h == id).count();
     for n in 0..9 {
@@ -169,7 +169,7 @@
         assert!(after != "i-4");
         assert!(
             before == "i-4" || *before == after,
-            "only its own parts move"
+            "only parts of i-4 move"
         );
     }
 }
@@ -182,7 +182,7 @@
     let key = gateway.fleet().find("i-0").unwrap();
     let loads: Vec<_> = (0..8).map(|_| gateway.add_load(key, 5000, false)).collect();
     assert!(choose_instance(&gateway, 7).is_none());
-    // The rest of a broken stream is taken up to a larger bound.
+    // A resumed stream is accepted up to a higher bound.
     assert!(choose_instance_for(&gateway, 7, true).is_some());
     let more: Vec<_> = (0..40)
         .map(|_| gateway.add_load(key, 5000, false))
@@ -197,7 +197,7 @@
 fn a_prompt_whose_home_has_no_free_slot_is_refused() {
     let gateway = gateway_with(&[Stage::Decode]);
     let key = gateway.fleet().find("i-0").unwrap();
-    // Seven long answers and one short one hold all slots, and read nothing.
+    // Seven long answers and one short one hold all slots, and have nothing to prefill.
     let mut loads: Vec<_> = (0..8).map(|n| gateway.add_load(key, 0, n > 0)).collect();
     for load in &mut loads {
         load.first_byte_received();
--- a/crates/gateway/tests/common/crashing.rs
+++ b/crates/gateway/tests/common/crashing.rs
@@ -1,4 +1,4 @@
-//! Several hosts before one store, and workers that some requests crash.
+//! Runs several hosts with one store, and workers that crash on certain requests.
 
 use super::{TestGateway, address, host, request, start_on};
 use standin::{Act, Crash, Store, Worker, fixture};
@@ -8,26 +8,26 @@
 
 /// Text in the body of requests that crash the workers.
 pub const CRASH_MARKER: &str = "deadly";
-/// Time after the third end from which on few more sends are allowed, and a bit more.
+/// Time after the third crash from which the number of further sends is limited, with some margin.
 pub const DETECTION_TIME: Duration = Duration::from_millis(3200);
-/// How long a worker is away after a crash.
+/// Time that a worker is down after a crash.
 const RESTART_TIME: Duration = Duration::from_millis(300);
-/// Start of the first workers, by their clocks.
+/// First start of the workers in ms, by their own clocks.
 const FIRST_START_MS: u64 = 1_700_000_000_000;
-/// Port on which hosts hear each other.
+/// Port on which hosts receive messages of their peers.
 const PEER_PORT: u16 = 7002;
 
-/// Hosts before one store, with workers that crash on [`CRASH_MARKER`].
+/// Hosts with one store, and workers that crash on [`CRASH_MARKER`].
 pub struct System {
     pub hosts: Vec<TestGateway>,
     pub store: Arc<Store>,
-    /// Engines that only read prompts. They don't crash.
+    /// Prefill-only engines. They don't crash.
     pub prefill_engines: Vec<Worker>,
     workers: Vec<Worker>,
 }
 
 impl System {
-    /// Starts hosts and plain workers, whose answers take some time.
+    /// Starts hosts and plain workers that answer after 30 ms.
     pub async fn start(hosts: usize, workers: usize) -> Self {
         let mut system = Self::empty();
         for n in 0..workers {
@@ -41,7 +41,7 @@
         system
     }
 
-    /// Starts hosts, engines that only read prompts and engines that generate.
+    /// Starts hosts, prefill-only engines and engines that generate.
     pub async fn start_engines(hosts: usize, prefill_engines: usize, generators: usize) -> Self {
         let mut system = Self::empty();
         for n in 0..prefill_engines {
@@ -64,7 +64,7 @@
         system
     }
 
-    /// A system without hosts and workers yet.
+    /// Creates a system without hosts and workers.
     pub fn empty() -> Self {
         let ip = address();
         let store = Arc::new(Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap());
@@ -77,10 +77,11 @@
         }
     }
 
-    /// Starts one more host and waits until it is ready. It hears peers with the same port.
+    /// Starts one more host and waits until it is ready. Only hosts with the same `peer_port` are
+    /// its peers.
     pub async fn add_host(&mut self, peer_port: u16) {
         let ip = address();
-        // What a bed calls its store is of no use here: all share one.
+        // Each gateway needs a store of its own, which isn't used here: all hosts share one.
         let own = Store::start(SocketAddr::new(IpAddr::V4(ip), 7004)).unwrap();
         let settings = platform::Host {
             peer_port,
@@ -91,7 +92,7 @@
         self.hosts.push(gateway);
     }
 
-    /// Starts a worker with a row, but for its address and start.
+    /// Starts a worker and registers it with `row`, to which its address and start are added.
     async fn add_worker(&mut self, id: &str, row: serde_json::Value, default: Act) {
         let addr = SocketAddr::new(IpAddr::V4(address()), 7100);
         let worker = Worker::start_since(addr, id, FIRST_START_MS).await.unwrap();
@@ -112,7 +113,7 @@
         self.workers.push(worker);
     }
 
-    /// Registers all workers as if they had started again, for the time with this number.
+    /// Registers all workers as restarted; `restart` is the number of the restart.
     pub fn register_restarted(&self, restart: u64) {
         for worker in &self.workers {
             let mut row = fixture::worker("plain", worker.addr, "ready", None);
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Writes the row of an end under a request, as another host does.
+    /// Writes the row of a crash during a request, as another host does.
     pub fn put_crash_row(&self, path: &str, body: &str, upstream: u32) {
         let parts = ["POST", fixture::HOST, path, "", body];
         let fingerprint = resilience::Fingerprint::of(parts.map(str::as_bytes));
@@ -131,32 +132,32 @@
         self.store.put("crashes", &key, &row);
     }
 
-    /// What all workers do with requests that don't crash them.
+    /// Sets what all workers do with requests that don't crash them.
     pub fn set_default_act(&self, act: &Act) {
         for worker in &self.workers {
             worker.usually(act.clone());
         }
     }
 
-    /// How often workers were sent a body.
+    /// Returns how often workers received a body.
     pub fn times_sent(&self, body: &str) -> usize {
         let seen = self.workers.iter().flat_map(Worker::seen);
         seen.filter(|s| s.body == body.as_bytes()).count()
     }
 
-    /// How often workers have ended so far.
+    /// Returns the number of crashes of all workers so far.
     pub fn crash_count(&self) -> u64 {
         self.workers.iter().map(Worker::crashes).sum()
     }
 
-    /// Workers that are up don't crash any more.
+    /// Lets workers that are up no longer crash.
     pub fn disable_crashes(&self) {
         for worker in &self.workers {
             worker.crash_on(None);
         }
     }
 
-    /// Sends a request to one of the hosts, by turns; gives its answer.
+    /// Sends a request to one of the hosts, selected by `id`, and returns its answer.
     pub async fn exchange(&self, path: &str, id: usize, body: &str) -> String {
         let host = &self.hosts[id % self.hosts.len()];
         let headers = super::SHORT_PROMPT_HEADERS;
@@ -164,7 +165,7 @@
         super::exchange(host.callers, &text).await
     }
 
-    /// The same; gives the answer's status, 0 if there is none.
+    /// Same as [`System::exchange`]; returns the status of the answer, or 0 if there is none.
     pub async fn send(&self, path: &str, id: usize, body: &str) -> u16 {
         let answer = self.exchange(path, id, body).await;
         match answer.is_empty() {
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway in this process, before stand-ins, on loopback addresses of its own.
+//! Runs a gateway in the test process, with stand-ins for store and workers, on its own loopback
+//! addresses.
 
 pub mod crashing;
 
@@ -13,12 +14,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest wait for a condition. Far above what any takes, also on a busy machine.
+/// Maximum time to wait for a condition, far above what any takes even on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(1);
 
-/// An address that no other test uses: one of the process's own in 127.64.0.0/10.
+/// Returns an address that no other test uses: one of this process's own in 127.64.0.0/10.
 pub fn address() -> Ipv4Addr {
     let process = std::process::id();
     let n = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
@@ -26,7 +27,7 @@
     Ipv4Addr::from(0x7f40_0000 | (low & 0x003f_ffff) | 1 << 21)
 }
 
-/// A gateway with its store.
+/// A running gateway and its store.
 pub struct TestGateway {
     pub store: Store,
     pub callers: SocketAddr,
@@ -42,7 +43,7 @@
     }
 }
 
-/// Settings on an address, for a store.
+/// Returns the settings of a host with an address and a store.
 pub fn host(ip: Ipv4Addr, store: SocketAddr) -> Host {
     let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
     Host {
@@ -67,14 +68,14 @@
     }
 }
 
-/// Starts a gateway, without configuration or workers yet.
+/// Starts a gateway without configuration and workers.
 pub fn start_without_config() -> TestGateway {
     let ip = address();
     let store = Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap();
     start_on(host(ip, store.addr), store)
 }
 
-/// Starts a gateway on a host for a store.
+/// Starts a gateway with a host's settings and a store.
 pub fn start_on(host: Host, store: Store) -> TestGateway {
     let stop = Stop::default();
     let (settings, stopped) = (host.clone(), stop.clone());
@@ -92,7 +93,7 @@
     }
 }
 
-/// Starts a gateway with the usual routes and so many workers of `plain`.
+/// Starts a gateway with the default routes and `count` workers of the service `plain`.
 pub async fn start(count: usize) -> (TestGateway, Vec<Worker>) {
     let gateway = start_without_config();
     let mut workers = Vec::new();
@@ -128,7 +129,7 @@
         self.store.put("servers", id, &row);
     }
 
-    /// Waits until readiness is answered with a status.
+    /// Waits until the readiness check returns a status.
     pub async fn wait_ready(&self, status: u16) {
         let ready = self.ready;
         wait_for("readiness", || async move {
@@ -138,13 +139,16 @@
         .await;
     }
 
-    /// Waits until the gateway has its share of the retries: it takes the least until it has
-    /// read who the others are, after which it writes its own row, and looks at them again
-    /// and again. It may be ready before, and then sends nothing a second time.
+    /// Waits until the gateway has its share of the retry budget. It uses the minimum until it has
+    /// read the list of other processes, then writes its own row and reads the list again
+    /// periodically. It may be ready earlier, but doesn't retry requests until then.
     pub async fn wait_for_retry_budget(&self, store: &Store) {
         const REFRESH_TIME: Duration = Duration::from_millis(300);
         let name = &self.host.name;
-        wait_for("its row", || async { store.has("processes", name) }).await;
+        wait_for("its row in the store", || async {
+            store.has("processes", name)
+        })
+        .await;
         tokio::time::sleep(REFRESH_TIME).await;
     }
 
@@ -161,12 +165,12 @@
 
 /// Headers of a prompt with a short answer.
 pub const SHORT_PROMPT_HEADERS: &str = "token-counts: 100,5\r\nprompt-prefix: a:50,b:50\r\n";
-/// How long after the stop signal an answer of 1.5 s can still be ended for some time, with a
-/// grace of 8 s, though it may take nearly twice as long on a host that has just started.
+/// Time after the stop signal at which a host with a grace period of 8 s still accepts answers of
+/// 1.5 s for a while, although they may take nearly twice as long on a host that has just started.
 pub const LATE_IN_SHUTDOWN: Duration = Duration::from_millis(3700);
 
 impl TestGateway {
-    /// Sends so many requests at once; gives their answers.
+    /// Sends `count` requests at once and returns their answers.
     pub async fn exchange_many(
         &self,
         path: &str,
@@ -186,8 +190,8 @@
         answers
     }
 
-    /// Sends a short prompt whose answer begins and never ends, so that the host waits for
-    /// it until its deadline, 4 s later.
+    /// Sends a short prompt whose answer starts and never ends, so that the host waits for it until
+    /// its deadline, 4 s later.
     async fn start_endless_answer(&self, engine: &Worker, id: &str) -> Client {
         engine.script([Act::EventsThenHang(1..=2)]);
         let mut client = Client::connect(self.callers).await;
@@ -206,8 +210,8 @@
         engine
     }
 
-    /// Stops the host, which an engine's answers hold up, and waits until a time after the
-    /// signal, at most 6 s.
+    /// Stops the host while answers of an engine are running, and waits until the given time after
+    /// the signal, at most 6 s.
     pub async fn stop_and_wait(&self, engine: &Worker, after: Duration) -> [Client; 2] {
         let first = self.start_endless_answer(engine, "held-1").await;
         self.stop.stop();
@@ -219,11 +223,14 @@
     }
 }
 
-/// Waits for a condition.
+/// Waits until a condition is met.
 pub async fn wait_for<F: Future<Output = bool>>(what: &str, is_met: impl Fn() -> F) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !is_met().await {
-        assert!(Instant::now() < deadline, "waited too long for {what}");
+        assert!(
+            Instant::now() < deadline,
+            "timeout while waiting for {what}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -235,7 +242,7 @@
     client.read().await
 }
 
-/// A client's connection, byte by byte.
+/// A client's connection with access to the raw bytes.
 pub struct Client {
     pub tcp: TcpStream,
     buf: Vec<u8>,
@@ -262,7 +269,7 @@
         self.tcp.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Reads until the bytes so far contain a text.
+    /// Reads until the received bytes contain a text.
     pub async fn read_until(&mut self, text: &str) -> String {
         let reading = async {
             while !self.text().contains(text) {
@@ -272,11 +279,12 @@
         };
         tokio::time::timeout(WAIT_TIMEOUT, reading)
             .await
-            .expect("in time");
+            .expect("timeout while reading");
         self.text()
     }
 
-    /// Reads until the connection ends; says whether it was closed in order.
+    /// Reads until the connection ends; returns the text and whether the connection was closed
+    /// cleanly.
     pub async fn read_to_end(&mut self) -> (String, bool) {
         let reading = async {
             loop {
@@ -289,11 +297,11 @@
         };
         let is_clean = tokio::time::timeout(WAIT_TIMEOUT, reading)
             .await
-            .expect("in time");
+            .expect("timeout while reading");
         (self.text(), is_clean)
     }
 
-    /// Reads one answer: by its length, or by its last chunk, or to the end.
+    /// Reads one answer: by its length, up to its last chunk, or to the end of the connection.
     pub async fn read(&mut self) -> String {
         let reading = async {
             loop {
@@ -311,7 +319,7 @@
         };
         tokio::time::timeout(WAIT_TIMEOUT, reading)
             .await
-            .expect("in time")
+            .expect("timeout while reading")
     }
 
     pub fn text(&self) -> String {
@@ -319,7 +327,7 @@
     }
 }
 
-/// Length of the answer at the start of a buffer, once it is whole.
+/// Returns the length of the answer at the start of a buffer once it is complete.
 fn answer_len(buf: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(buf).ok()?;
     let head = text.find("\r\n\r\n")? + 4;
@@ -333,7 +341,7 @@
     (buf.len() >= head + len).then_some(head + len)
 }
 
-/// The status of an answer's text.
+/// Returns the status code of an answer.
 pub fn status(text: &str) -> u16 {
     let code = text.split(' ').nth(1).unwrap_or("");
     code.parse()
--- a/crates/gateway/tests/common_requests.rs
+++ b/crates/gateway/tests/common_requests.rs
@@ -1,16 +1,15 @@
-//! A common request that crashes nothing, beside others that crash their upstreams.
+//! Tests that a common request that crashes nothing isn't confirmed as crashing, although it runs
+//! beside others that crash their upstreams.
 //!
-//! Seen in a soak: a request that every client sends was there when four others ended three
-//! upstreams, and was held back. For 13 s no host served it; then two hosts refused it for good,
-//! 88 times, though nothing was wrong with it.
+//! Guards against this failure: a request that every client sends was running when four others
+//! crashed three upstreams, and was blocked. For 13 s no host served it; then two hosts refused it
+//! 88 times as confirmed, though nothing was wrong with it.
 //!
-//! How it came about, by the hosts' lines: `work_tried`, trial 1, met an upstream that another
-//! such request ended 0.1 s later (`connection_broke`, ends 4). Trial 2 went to an upstream that
-//! gave no sign of life (`answered`, `no first byte in time`): no end, no answer, and nobody
-//! tried again for a minute. An upstream that ended 6 s later under the same request, at a host
-//! that had just started and knew nothing of it, counted as the proof (`work_held_back`, source
-//! store, then `crashes_upstreams`). A host that had an answer at last couldn't remove the rows,
-//! as it had lost the store; one that started after it read them and refused anew.
+//! Its first trial ran on an upstream that another such request crashed 0.1 s later. Its second
+//! trial got no first byte, which was neither a crash nor an answer, and wasn't repeated for a
+//! minute. A host that had just started and knew of no trial then took a crash 6 s later as the
+//! confirmation. A host that got an answer at last had lost the store and couldn't remove the crash
+//! rows, so a host that started afterwards read them and refused the request again.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
@@ -22,19 +21,19 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// The common request's body and path.
+/// Body and path of the common request.
 const COMMON: &str = "common";
 const PATH: &str = "/unsafe/";
-/// Time in which a common request must be served again, and a host that has just started must
-/// know of it: seconds, and room for a busy machine.
+/// Time within which a common request must be served again, and a host that has just started must
+/// know that: a few seconds, with a margin for a busy machine.
 const RECOVERY_TIME: Duration = Duration::from_secs(8);
-/// Time after which a word was told for the last time as news.
+/// Time after which hosts have sent a new observation to their peers for the last time.
 const RESEND_TIME: Duration = Duration::from_secs(5);
 
-/// Time after its start in which a host has read the rows of ends.
+/// Time after its start within which a host has read the crash rows.
 const FIRST_READ_TIME: Duration = Duration::from_millis(1600);
 
-/// Hosts before three workers that don't answer until they are told to, and what is sent there.
+/// Hosts with three workers that don't answer until they are told to, and the requests to them.
 struct Scenario {
     system: Arc<System>,
     next_round: usize,
@@ -58,7 +57,7 @@
         tokio::spawn(async move { system.send(PATH, id, COMMON).await })
     }
 
-    /// Three other requests end the three workers, the busier ones last.
+    /// Crashes the three workers with three other requests, the busier ones last.
     async fn crash_all_workers(&self) {
         let before = self.system.crash_count();
         for other in 0..3 {
@@ -71,11 +70,11 @@
         }
     }
 
-    /// Has it held back: it runs at each worker when that ends.
+    /// Lets the common request run on each worker when that crashes, until it is blocked.
     async fn block_common_request(&mut self) {
         let running: Vec<_> = (0..3).map(|_| self.send(0)).collect();
         let system = self.system.clone();
-        wait_for("it at each worker", || async {
+        wait_for("the request on each worker", || async {
             system.times_sent(COMMON) == running.len()
         })
         .await;
@@ -83,20 +82,23 @@
         for call in running {
             assert_eq!(call.await.unwrap(), 502);
         }
-        wait_for("what is held back", || async {
+        wait_for("the request to be blocked", || async {
             let answer = system.exchange(PATH, 100_000, COMMON).await;
             answer.contains("crash") || answer.contains("no_upstream")
         })
         .await;
     }
 
-    /// Sends it to all hosts until one of them tries it; gives that one. Nobody may refuse it
-    /// for good meanwhile.
+    /// Sends the common request to all hosts until one of them starts a trial, and returns that
+    /// call. No host may refuse the request as confirmed meanwhile.
     async fn wait_for_trial(&mut self) -> JoinHandle<u16> {
         let deadline = Instant::now() + RECOVERY_TIME;
         let system = self.system.clone();
         loop {
-            assert!(Instant::now() < deadline, "not tried again within seconds");
+            assert!(
+                Instant::now() < deadline,
+                "no trial within {RECOVERY_TIME:?}"
+            );
             for host in 0..system.hosts.len() {
                 let before = system.times_sent(COMMON);
                 let mut call = self.send(host);
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Sends it to all hosts until each has served it, as workers answer again; none may refuse
-    /// it for good.
+    /// Lets the workers answer, and sends the common request to all hosts until each has served it.
+    /// None may refuse it as confirmed.
     async fn assert_served_by_all(&mut self) {
         self.system.set_default_act(&Act::Echo);
         let deadline = Instant::now() + RECOVERY_TIME;
@@ -122,7 +124,7 @@
                 if status == 200 {
                     break;
                 }
-                assert!(Instant::now() < deadline, "host {host} says {status}");
+                assert!(Instant::now() < deadline, "host {host} answers {status}");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -151,8 +153,8 @@
     scenario.assert_served_by_all().await;
 }
 
-/// Seen by reading: a call that removed the rows of 32 ends, with those of their trials, had more
-/// entries than the store takes, so it was refused each time, and none of them ever went.
+/// Guards against a removal that never succeeds: a call that removed the rows of 32 crashes and of
+/// their trials had more entries than the store accepts, so it was refused each time.
 #[tokio::test]
 async fn rows_of_many_answered_requests_are_removed() {
     let system = Arc::new(System::start(1, 3).await);
@@ -162,7 +164,7 @@
             system.put_crash_row(PATH, body, upstream);
         }
     }
-    // Without an answer they stand.
+    // Without an answer, the rows remain.
     tokio::time::sleep(RESEND_TIME).await;
     assert_eq!(system.store.keys("crashes").len(), 40);
     let send = |body: String| {
@@ -172,14 +174,14 @@
     for call in bodies.into_iter().map(send).collect::<Vec<_>>() {
         assert_eq!(call.await.unwrap(), 200);
     }
-    wait_for("no rows", || async {
+    wait_for("the removal of all rows", || async {
         system.store.keys("crashes").is_empty()
     })
     .await;
 }
 
-/// As an upstream that goes dark when it crashes: its connections stay open, and it is back
-/// under a new start seconds later.
+/// The upstream stops responding when it crashes: its connections stay open, and it is registered
+/// with a new start seconds later.
 #[tokio::test]
 async fn trials_whose_upstream_restarts_without_closing_connections_count_as_crashes() {
     let mut scenario = Scenario::start(2).await;
@@ -189,7 +191,7 @@
         scenario.system.register_restarted(start);
     }
     let system = scenario.system.clone();
-    wait_for("proof", || async {
+    wait_for("the confirmation", || async {
         system.send(PATH, 1_000_000, COMMON).await == 400
     })
     .await;
@@ -200,15 +202,12 @@
     let mut scenario = Scenario::start(2).await;
     scenario.block_common_request().await;
     let store = scenario.system.store.clone();
-    wait_for("rows of the ends", || async {
-        store.keys("crashes").len() >= 3
-    })
-    .await;
+    wait_for("crash rows", || async { store.keys("crashes").len() >= 3 }).await;
     store.set_mode(Mode::RefuseWritesTo("crashes"));
     scenario.assert_served_by_all().await;
-    // By then it was last told as news.
+    // By then, the answer has been sent to peers for the last time.
     tokio::time::sleep(RESEND_TIME).await;
-    let mut system = Arc::into_inner(scenario.system).expect("nothing is being sent");
+    let mut system = Arc::into_inner(scenario.system).expect("no call is running");
     system.add_host(7002).await;
     scenario.system = Arc::new(system);
     tokio::time::sleep(FIRST_READ_TIME).await;
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -1,15 +1,14 @@
-//! Requests that crash each upstream that runs them.
+//! Tests that requests that crash every upstream they run on are blocked.
 //!
-//! Seen: on four hosts before eight engines, 17 and 18 engines ended under two requests, one
-//! after another, each time within 0.1 s of its beginning to run; hosts sent the two 10 and
-//! 12 times more from 3 s after the third end on, and while engines were away one in ten
-//! requests of others was served in time.
+//! Guards against this failure: with four hosts and eight engines, 17 and 18 engines crashed one
+//! after another under two requests, each within 0.1 s of receiving one. From 3 s after the third
+//! crash on, hosts sent the two requests 10 and 12 times more, and while engines were down only one
+//! in ten other requests was served in time.
 //!
-//! How it came about: clients came again, with a new id each time, to whichever host. A
-//! host counted tries in one attempt of a client alone, so each time began at nothing.
-//!
-//! Proved by the first test here: of 24 such attempts at three hosts, 3.2 s after the third
-//! end, each reached an upstream and ended it, two on a route that may be retried.
+//! Clients had sent the requests again with a new id each time, to any host. A host counted
+//! attempts only within one request of a client, so each count began at zero. Without detection
+//! across hosts, each of 24 such requests to three hosts, 3.2 s after the third crash, crashed an
+//! upstream, and two upstreams on a route that allows retries.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
@@ -21,12 +20,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Sends that are allowed from 3 s after the third end on, by all hosts together.
+/// Maximum number of sends by all hosts together from 3 s after the third crash on.
 const MAX_LATER_SENDS: u64 = 3;
-/// Ports of hosts that don't hear each other.
+/// Peer ports of hosts that receive no messages from each other.
 const SEPARATE_PEER_PORTS: [u16; 3] = [7012, 7013, 7014];
 
-/// Sends deadly requests until three workers have ended; gives the next id.
+/// Sends crashing requests until three workers have crashed; returns the next id.
 async fn crash_three_workers(system: &System, path: &str) -> usize {
     let mut id = 0;
     while system.crash_count() < 3 {
@@ -36,8 +35,8 @@
     id
 }
 
-/// Sends 24 more by turns, and others between them, which must be served as long as no
-/// more workers end than may.
+/// Sends 24 more crashing requests, alternating with others that must be served, and checks that no
+/// more workers crash than allowed.
 async fn send_more(system: &System, path: &str, from: usize) {
     let before = system.crash_count();
     for id in from..from + 24 {
@@ -46,13 +45,13 @@
         let later = system.crash_count() - before;
         assert!(
             later <= MAX_LATER_SENDS,
-            "{later} more workers ended by {path}"
+            "{later} more workers crashed by {path}"
         );
         assert_eq!(other, 200);
     }
 }
 
-/// Lets all hosts know, and one of them try it, twice.
+/// Waits until all hosts know of the crashes, and sends the request until both trials have run.
 async fn run_both_trials(system: &System, path: &str) {
     tokio::time::sleep(DETECTION_TIME).await;
     let before = system.crash_count();
@@ -64,7 +63,7 @@
     assert!(later <= 2, "{later} trials");
 }
 
-/// Each host refuses the deadly request for good, and no worker ends.
+/// Checks that each host refuses the crashing request as confirmed, and that no worker crashes.
 async fn assert_all_refuse(system: &System, path: &str) {
     let before = system.crash_count();
     for id in 0..system.hosts.len() {
@@ -87,7 +86,7 @@
 async fn a_confirmed_request_is_refused_with_its_own_reason_and_no_retry() {
     let system = System::start(1, 6).await;
     for id in 0..3 {
-        // It may have run, so nothing else can be said.
+        // It may have run, so the answer can't be more specific.
         assert_eq!(system.send("/unsafe/", id, CRASH_MARKER).await, 502);
     }
     run_both_trials(&system, "/unsafe/").await;
@@ -96,7 +95,7 @@
     assert!(answer.contains("\"crashes_upstreams\""), "{answer}");
     assert!(answer.contains("\"not_run\""), "{answer}");
     assert!(!answer.to_ascii_lowercase().contains("retry-after"));
-    // The same of another path or body is other work.
+    // A request with another path and body has another fingerprint.
     assert_eq!(system.send("/unsafe/x", 4, "other").await, 200);
 }
 
@@ -105,10 +104,7 @@
     let mut system = System::start(2, 8).await;
     crash_three_workers(&system, "/unsafe/").await;
     let store = system.store.clone();
-    wait_for("rows of the ends", || async {
-        store.keys("crashes").len() >= 3
-    })
-    .await;
+    wait_for("crash rows", || async { store.keys("crashes").len() >= 3 }).await;
     system.add_host(7002).await;
     run_both_trials(&system, "/unsafe/").await;
     assert_all_refuse(&system, "/unsafe/").await;
@@ -124,7 +120,7 @@
     for port in SEPARATE_PEER_PORTS {
         system.add_host(port).await;
     }
-    // They know of each other by then.
+    // Waits until they know of each other.
     let store = system.store.clone();
     wait_for("rows of all hosts", || async {
         store.keys("processes").len() == 3
@@ -139,20 +135,17 @@
     assert_all_refuse(&system, "/unsafe/").await;
 }
 
-/// A store that is silent for a while, as one that hosts come back to after an outage.
+/// The store is silent for a while, as at the end of an outage.
 #[tokio::test]
 async fn a_host_that_starts_while_the_store_is_silent_learns_of_crashes_afterwards() {
     let mut system = System::start(1, 8).await;
     crash_three_workers(&system, "/unsafe/").await;
     let store = system.store.clone();
-    wait_for("rows of the ends", || async {
-        store.keys("crashes").len() >= 3
-    })
-    .await;
+    wait_for("crash rows", || async { store.keys("crashes").len() >= 3 }).await;
     run_both_trials(&system, "/unsafe/").await;
     system.add_host(7002).await;
     system.hosts.clear();
-    // Ready by what the store tells first, and blind for the ends then.
+    // The host becomes ready with the other tables, without having read the crashes.
     system.store.set_mode(Mode::SilentFor("crashes"));
     system.add_host(7012).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -164,14 +157,14 @@
 #[tokio::test]
 async fn hosts_share_crash_reports_while_the_store_is_unavailable() {
     let system = System::start(3, 8).await;
-    // All have heard each other by then.
+    // Waits until all hosts have received messages of each other.
     tokio::time::sleep(DETECTION_TIME).await;
     system.store.set_mode(Mode::Refuse(503));
     for id in 0..3 {
         assert_eq!(system.send("/unsafe/", id, CRASH_MARKER).await, 502);
     }
-    // The first of them tries it; the others can't know that, so they say it may be served
-    // later.
+    // Only the first host runs the trials. The others can't know the results, so they answer that
+    // the request may be served later.
     run_both_trials(&system, "/unsafe/").await;
     let before = system.crash_count();
     for id in 0..3 {
@@ -197,7 +190,8 @@
     assert_eq!(system.crash_count(), before);
 }
 
-/// As when a service is restarted as a whole: all that ran everywhere was there at many ends.
+/// As when a whole service is restarted: any request that ran on all workers was running at many of
+/// the crashes.
 #[tokio::test]
 async fn a_common_request_running_when_all_workers_crash_is_served_again_at_once() {
     let system = Arc::new(System::start(2, 6).await);
@@ -205,7 +199,7 @@
         let system = system.clone();
         tokio::spawn(async move { system.send("/unsafe/", id, "common").await })
     };
-    // Some run on each worker, which all end by something else.
+    // The request runs on each worker, and all of them are crashed by other requests.
     let running: Vec<_> = (0..36).map(send).collect();
     tokio::time::sleep(Duration::from_millis(10)).await;
     for id in 0..60 {
@@ -225,9 +219,9 @@
         id += 1;
     }
     assert!(!statuses.contains(&400), "{statuses:?}");
-    // The other host hears of the answer by a datagram.
+    // The other host learns of the answer by a datagram.
     let other = system.clone();
-    wait_for("the other host", || async {
+    wait_for("an answer of the other host", || async {
         other.send("/unsafe/", id, "common").await == 200
     })
     .await;
@@ -250,7 +244,7 @@
     for client in clients {
         client.await.unwrap();
     }
-    // Those of them that were refused for want of upstreams come again.
+    // Requests that were refused because no upstream was up are sent again.
     for id in 0..30 {
         system.send("/unsafe/", id, [one, two][id % 2]).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -262,7 +256,7 @@
         assert_eq!(system.send("/safe/", id, "other").await, 200);
     }
     let later = system.crash_count() - before;
-    assert!(later <= 2 * MAX_LATER_SENDS, "{later} more workers ended");
+    assert!(later <= 2 * MAX_LATER_SENDS, "{later} more workers crashed");
 }
 
 #[tokio::test]
@@ -301,7 +295,7 @@
         status(&common::exchange(gateway.callers, &text).await)
     };
     for round in 0..6 {
-        // Each keeps a connection.
+        // Each worker has an idle connection.
         gateway
             .exchange_many("/unsafe/", &format!("warm-{round}"), "", 24)
             .await;
@@ -310,16 +304,16 @@
         }
         assert_eq!(send(format!("same-{round}"), "same").await, 502);
         for other in 0..2 {
-            // The two others close on something else.
+            // The two other workers close their connections during another request.
             while send(format!("rest-{round}-{other}"), "rest").await != 502 {}
         }
     }
     assert_eq!(send("last".into(), "same").await, 200);
 }
 
-/// As upstreams that go dark when they crash: their connections stay open, no answer comes, and
-/// each is back under a new start. Seen by reading: such an end counted for nothing, so the
-/// request was sent on without end.
+/// The upstreams stop responding when they crash: their connections stay open, no answer comes, and
+/// each is registered with a new start. Guards against such crashes not being counted, after which
+/// the request was sent again without limit.
 #[tokio::test]
 async fn a_request_whose_upstreams_stop_responding_is_blocked_too() {
     let system = System::start(2, 4).await;
--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -1,5 +1,5 @@
-//! What peers and rows of leases say: any bytes are decoded or refused, and what was
-//! decoded is no larger than its message allows.
+//! Tests the decoding of peer messages and lease rows: any bytes are decoded or refused, and the
+//! decoded value is no larger than the message allows.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Bytes of all kinds, and such as were a message before some of them changed.
+/// Generates random bytes, and valid messages of which some bytes were changed or cut off.
 fn valid_or_random_bytes(valid: Vec<u8>) -> impl Strategy<Value = Vec<u8>> {
     let any_bytes = proptest::collection::vec(any::<u8>(), 0..200);
     let changes = proptest::collection::vec((any::<usize>(), any::<u8>()), 0..4);
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_message_with_a_list_length_beyond_its_size_is_refused() {
-    // A list of 4 billion entries, as the last field that follows whole ones.
+    // A list length of 4 billion, as the last field after complete ones.
     let huge_list = [0xdd, 0xff, 0xff, 0xff, 0xff];
     let mut status = wire::encode_compact(&peer_status(1));
     let loads = status.len() - wire::encode_compact(&peer_status_lists()).len() + 1;
@@ -182,7 +182,7 @@
     assert!(wire::decode::<RegistryChanges>(&changes).is_none());
 }
 
-/// The lists at the end of a status, as one message.
+/// Returns the lists at the end of a peer status, as one message.
 fn peer_status_lists() -> (
     Vec<Load>,
     Vec<StageChange>,
--- a/crates/gateway/tests/division.rs
+++ b/crates/gateway/tests/division.rs
@@ -1,8 +1,8 @@
-//! Decisions on how many engines read prompts, on patterns of load.
+//! Tests decisions on how many engines prefill prompts, under several load patterns.
 //!
-//! The figures of a pattern are requests a second times the time that each keeps
-//! an engine busy: prompts of 2,900 to 3,700 uncached tokens read at 37 tokens a ms
-//! by engines with 64 slots, or at 700 and more by engines with 6 to 12.
+//! The figures of a pattern are requests per second, multiplied by the time that each keeps an
+//! engine busy: prompts of 2,900 to 3,700 uncached tokens, prefilled at 37 tokens per ms by engines
+//! with 64 slots, or at 700 and more by engines with 6 to 12 slots.
 
 use gateway::division::{Basis, Demand, Division, EngineUse, WantedChange};
 use gateway::duty::lease::{Decision, HeldLease, decide};
@@ -11,7 +11,7 @@
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The use of engines of which so many read and so many answers are generated.
+/// Returns the use of engines of which the given numbers prefill, while `answers` are generated.
 fn uses(
     current: Division,
     prefill_busy: u32,
@@ -31,7 +31,7 @@
     prefill_engines.chain(generators).collect()
 }
 
-/// The demand after so many seconds of the same use.
+/// Returns the demand after some seconds of constant use.
 fn demand(uses: &[EngineUse], seconds: u32) -> Demand {
     let mut demand = Demand::default();
     for _ in 0..seconds * 20 {
@@ -48,8 +48,8 @@
     }
 }
 
-/// Long prompts and short answers on deep batches: 43 requests a second keep 4 of 5
-/// readers at work, and some 35 answers run where 448 would fit.
+/// Long prompts and short answers with many slots: 43 requests per second keep 4 of 5 prefill
+/// engines busy, and about 35 answers run where 448 would fit.
 #[test]
 fn full_prefill_engines_get_engines_that_generate_little() {
     let current = division(5, 7, 64);
@@ -57,15 +57,15 @@
     let wanted = demand.wanted_change(current, false).unwrap();
     assert_eq!(wanted.stage, Stage::Prefill);
     assert_eq!(wanted.basis, Basis::Prefilling);
-    // A quarter of the engines may be away at once, a third goes on generating.
+    // A quarter of the engines may change at once, and a third continues to generate.
     assert_eq!(wanted.changes, 3);
     let next = division(8, 4, 64);
     let further = demand.wanted_change(next, false);
-    assert_eq!(further, None, "a third is kept");
+    assert_eq!(further, None, "a third still generates");
 }
 
-/// Engines with few slots: 16 long answers in 30 slots, readers half at work. One
-/// more reader earned 0.09 less there, since answers then wait for slots.
+/// Engines with few slots: 16 long answers in 30 slots, and prefill engines half busy. Another
+/// prefill engine served less there, since answers then wait for slots.
 #[test]
 fn no_order_is_given_when_slots_are_the_bottleneck() {
     for (current, busy, answers) in [
@@ -85,7 +85,7 @@
     }
 }
 
-/// A demand after three seconds without a request.
+/// Returns the demand after three more seconds without a request.
 fn idle(mut demand: Demand, current: Division) -> Demand {
     for _ in 0..60 {
         demand.sample(uses(current, 0, 0, 0).into_iter(), SAMPLE_INTERVAL);
@@ -103,7 +103,7 @@
         basis: Basis::Slots,
     };
     assert_eq!(demand.wanted_change(current, true), Some(expected));
-    // A process that starts anew in a running system doesn't know that it is idle.
+    // A process that restarts in a running system doesn't know that the system is idle.
     assert_eq!(demand.wanted_change(current, false), None);
 }
 
@@ -132,7 +132,7 @@
     }
 }
 
-/// A zone with most of the generators is lost.
+/// As when a zone with most of the generators is lost.
 #[test]
 fn lost_generators_are_replaced_by_prefill_engines() {
     for (current, changes) in [(division(8, 1, 64), 2), (division(7, 0, 64), 1)] {
@@ -182,7 +182,8 @@
         Decision::Wait(pause) => Some(pause),
         Decision::Take(_) => None,
     };
-    // The last order leaves 1.5 s before the end, so 5.5 s lie between two hosts'.
+    // The last order is sent 1.5 s before the lease ends, so there are 5.5 s between the orders of
+    // two hosts.
     assert_eq!(wait(9_000), Some(Duration::from_millis(5_000)));
     assert_eq!(wait(13_999), Some(Duration::from_millis(1)));
     assert_eq!(wait(14_000), None);
@@ -196,7 +197,7 @@
         "b",
         ORDER_GAP,
     ) else {
-        panic!("it is free");
+        panic!("the lease has expired");
     };
     assert_eq!((lease.holder.as_str(), lease.token), ("b", 8));
     let Decision::Take(again) = decide(
@@ -205,7 +206,7 @@
         "a",
         ORDER_GAP,
     ) else {
-        panic!("it is its own");
+        panic!("the lease is held by this host");
     };
     assert_eq!(again.token, 8);
 }
--- a/crates/gateway/tests/durations.rs
+++ b/crates/gateway/tests/durations.rs
@@ -1,4 +1,4 @@
-//! How long answers are taken to last at most, from those that were seen.
+//! Tests the upper bound of the time that answers take, estimated from earlier answers.
 
 use gateway::fleet::durations::{Durations, Length};
 use std::time::{Duration, Instant};
@@ -12,8 +12,8 @@
     Length::Tokens { expected, max }
 }
 
-/// Answers of a length, of which one took 800 ms and the others 100, the first of them two
-/// minutes ago.
+/// Records answers of a length, of which one took 800 ms and the others 100 ms. The first of them
+/// was two minutes ago.
 fn recorded(length: Length, count: u32) -> Durations {
     let now = Instant::now();
     let mut durations = Durations::default();
@@ -26,7 +26,7 @@
     durations
 }
 
-/// The bound as it stands two minutes after the first of [`recorded`].
+/// Returns the bound two minutes after the first answer of [`recorded`].
 fn bound_of(durations: &Durations, length: Length) -> Duration {
     durations.upper_bound(length, Instant::now())
 }
@@ -35,19 +35,19 @@
 fn the_bound_is_the_slowest_answer_of_the_last_minutes_plus_a_margin() {
     let mut durations = recorded(tokens(100), 40);
     let mut now = Instant::now();
-    // However many quick ones come beside it.
+    // The number of quick answers beside it makes no difference.
     for _ in 0..10_000 {
         durations.record(tokens(100), ms(100), now);
     }
     let before = durations.upper_bound(tokens(100), now);
     assert!((ms(900)..ms(1200)).contains(&before), "{before:?}");
-    // Long after it, the slow one counts no more.
+    // Minutes later, the slow answer doesn't count any more.
     for _ in 0..60 {
         now += Duration::from_secs(10);
         durations.record(tokens(100), ms(100), now);
     }
     assert!(durations.upper_bound(tokens(100), now) < ms(200));
-    // Nor does any after a quiet hour.
+    // After an hour without requests, no answer counts.
     let later = now + Duration::from_secs(3600);
     let unknown = Durations::default().upper_bound(tokens(100), later);
     assert_eq!(durations.upper_bound(tokens(100), later), unknown);
@@ -70,11 +70,11 @@
     assert!(bound_of(&empty, tokens(10)) < bound_of(&empty, tokens(100)));
     assert!(bound_of(&empty, tokens(5000)) > Duration::from_secs(60));
     assert!(bound_of(&recorded(tokens(100), 3), tokens(100)) > ms(1200));
-    // Slower than the start value as it may be, what was seen counts, with its margin.
+    // An answer that took longer than the default bound counts, with its margin.
     let mut slow = Durations::default();
     slow.record(tokens(1), Duration::from_secs(30), Instant::now());
     assert!(bound_of(&slow, tokens(1)) > Duration::from_secs(40));
-    // A client's estimate of nothing says nothing.
+    // A client's length hint of zero is ignored.
     let length = Length::Tokens {
         expected: 0,
         max: 300,
@@ -87,11 +87,11 @@
     let known = recorded(tokens(100), 40);
     let own = bound_of(&known, tokens(100));
     let twice = bound_of(&known, tokens(200));
-    // Time goes on between two looks.
+    // The clock advances between two calls.
     let is_about = |a: Duration, b: Duration| a.abs_diff(b) < ms(10);
-    assert!(is_about(twice, own * 2), "twice as long at the most");
+    assert!(is_about(twice, own * 2), "at most twice as long");
     let half = bound_of(&known, tokens(30));
-    assert!(is_about(half, own), "a shorter one takes no longer");
+    assert!(is_about(half, own), "a shorter answer takes no longer");
     assert!(bound_of(&known, tokens(10_000)) > own * 50);
 }
 
@@ -107,7 +107,7 @@
             assert_eq!(
                 is_known,
                 known == other,
-                "{known:?} of {other:?}: {bound:?}"
+                "bound of {other:?} from {known:?}: {bound:?}"
             );
         }
     }
@@ -136,8 +136,9 @@
     assert!(after(60) < ms(1500));
 }
 
-/// Seen: at a high rate sixteen quick answers came within 0.1 s, and 2.3 times the slowest of
-/// them was the bound for the next, below what is taken for granted of an unknown route.
+/// Guards against a bound that is too low: at a high rate, sixteen quick answers came within 0.1 s,
+/// and the bound became 2.3 times the slowest of them, less than the default bound of an unknown
+/// route.
 #[test]
 fn many_quick_answers_at_once_do_not_lower_the_bound() {
     let start = Instant::now();
@@ -154,8 +155,9 @@
     }
 }
 
-/// Seen: one peer that had watched a service for minutes made a process that had just started
-/// as sure of routes that the peer had never seen.
+/// Guards against applying the observed time to other routes: a peer that had observed a service
+/// for minutes made a process that had just started as certain of routes that the peer had never
+/// seen.
 #[test]
 fn the_observed_time_of_one_route_does_not_apply_to_others() {
     let start = Instant::now();
@@ -185,19 +187,20 @@
     }
     let snapshot = old.snapshot("s", now).unwrap();
     let mut new = Durations::default();
-    // Its own few quick answers bind it no more than they would the other.
+    // A few quick answers of its own don't set a lower bound than they would at the other process.
     new.record(tokens(100), ms(50), now);
     new.record(plain, ms(50), now);
     let is_same = |new: &Durations, length: Length| {
         let (new, old) = (new.upper_bound(length, now), old.upper_bound(length, now));
-        // Times are told in whole milliseconds.
+        // Snapshots contain whole milliseconds.
         new.abs_diff(old) < ms(5)
     };
     assert!(!is_same(&new, tokens(100)));
     new.merge(&snapshot, now);
     assert!(is_same(&new, tokens(100)));
     assert!(is_same(&new, plain));
-    // Taken again it says the same, and no more is kept than one process keeps.
+    // Merging a snapshot again changes nothing, and no more windows are kept than a single process
+    // keeps.
     for _ in 0..40 {
         new.merge(&snapshot, now);
     }
--- a/crates/gateway/tests/fairness.rs
+++ b/crates/gateway/tests/fairness.rs
@@ -1,4 +1,5 @@
-//! Who is served by tenant, without a network: a large tenant's burst before full engines.
+//! Tests how evenly tenants are served during a large tenant's burst on full engines, without a
+//! network.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -12,13 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of all requests' share of served ones that each tenant's must reach.
+/// Minimum fraction of the small tenants' requests that must be served, relative to that of all
+/// requests.
 const MIN_RELATIVE_SHARE: f64 = 0.25;
-/// Requests in all, and how many of them run on until an engine is through with one.
+/// Number of requests, and maximum number of them that run at once.
 const REQUESTS: u64 = 4000;
 const MAX_RUNNING: usize = 60;
 
-/// Sends a prompt with a part of its own; none if it is refused.
+/// Sends a prompt with an own part; returns `None` if it is refused.
 fn send(gateway: &Arc<Gateway>, id: u64) -> Option<LoadGuard> {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = [part(1, 6300), part(1000 + id, 2900)];
@@ -39,8 +41,9 @@
     }
 }
 
-/// A tenant with nine tenths of the requests, in bursts that are more than the engines, and
-/// twenty small ones: admission knows no tenant, so each is refused about as often.
+/// One tenant sends nine tenths of the requests, in bursts that exceed the engines' capacity, and
+/// twenty small tenants send the rest. Admission doesn't distinguish tenants, so each is refused
+/// about as often.
 #[test]
 fn the_burst_of_a_large_tenant_does_not_starve_small_ones() {
     let gateway = gateway_with(&[Stage::Decode; 6]);
@@ -54,7 +57,7 @@
             served[is_small] += 1;
             running.push_back(load);
         }
-        // In the bursts nothing ends between two requests.
+        // During a burst, no request ends between two others.
         let is_burst = (id / 200) % 2 == 0;
         if running.len() > MAX_RUNNING || !is_burst {
             running.pop_front();
@@ -62,10 +65,10 @@
     }
     let share = |served: u64, sent: u64| served as f64 / sent as f64;
     let all = share(served[0] + served[1], sent[0] + sent[1]);
-    assert!(all < 0.9, "nothing binds: {all}");
+    assert!(all < 0.9, "the engines are not full: {all} served");
     let small = share(served[1], sent[1]);
     assert!(
         small >= all * MIN_RELATIVE_SHARE,
-        "{small} of the small ones, {all} of all"
+        "served: {small} of the small tenants' requests, {all} of all"
     );
 }
--- a/crates/gateway/tests/feed_readers.rs
+++ b/crates/gateway/tests/feed_readers.rs
@@ -1,5 +1,6 @@
-//! Choice of the hosts that hold reads of whole tables, without a network. Guards against
-//! calls to the store that grow with the fleet: a change costs as many at 1,260 hosts as at 33.
+//! Tests the choice of feed readers, the hosts that keep reads of whole tables open, without a
+//! network. Guards against a number of store calls that grows with the fleet: a change costs as
+//! many calls at 1,260 hosts as at 33.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -10,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 const ZONES: u16 = 6;
-/// Feed readers of a large fleet, besides the root of each zone.
+/// Number of feed readers of a large fleet, besides the root of each zone.
 const FEED_READERS: usize = 32;
 
 fn ip(n: u16) -> IpAddr {
@@ -35,7 +36,7 @@
     (0..hosts).map(member).collect()
 }
 
-/// The peers of a host that knows a fleet of `hosts`.
+/// Returns the peers of a host that knows a fleet of `hosts`.
 fn peers(own: u16, hosts: u16) -> Peers {
     let (mut peers, mut fleet) = (Peers::default(), Fleet::default());
     peers.set_members(ip(own), &members(hosts), &mut fleet);
@@ -58,10 +59,13 @@
         let readers = feed_readers(hosts);
         let most = FEED_READERS + usize::from(ZONES);
         let count = readers.len();
-        assert!((FEED_READERS..=most).contains(&count), "{count} of {hosts}");
+        assert!(
+            (FEED_READERS..=most).contains(&count),
+            "{count} readers of {hosts} hosts"
+        );
         for zone in 0..ZONES {
             let in_zone = readers.iter().filter(|n| **n % ZONES == zone).count();
-            assert!(in_zone >= 1, "none of {hosts} in zone {zone}");
+            assert!(in_zone >= 1, "no reader in zone {zone} of {hosts} hosts");
         }
     }
 }
--- a/crates/gateway/tests/routes_and_events.rs
+++ b/crates/gateway/tests/routes_and_events.rs
@@ -1,4 +1,4 @@
-//! Routes and events, against naive versions of themselves.
+//! Tests the route table and the event splitter against simple reference versions.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -90,6 +90,6 @@
 fn events_of_a_chunk_with_a_gap_are_not_counted_as_relayed() {
     let mut splitter = EventSplitter::after(Some(2));
     assert!(splitter.push(b"id: 3\n\nid: 4\n\nid: 6\n\n").is_err());
-    // None of them was passed on, so the stream goes on after 2.
+    // None of them was relayed, so the stream resumes after event 2.
     assert_eq!(splitter.last_id(), Some(2));
 }
--- a/crates/gateway/tests/shutdown_schedule.rs
+++ b/crates/gateway/tests/shutdown_schedule.rs
@@ -1,4 +1,4 @@
-//! The moments of a process's end.
+//! Tests the shutdown schedule of a process, and the detection of stalls.
 
 use gateway::stop::{ShutdownSchedule, StallDetector};
 use std::time::{Duration, Instant};
@@ -46,7 +46,7 @@
     assert_eq!(stalls.earliest_signal(now + secs(0.01)), now + secs(0.01));
     let paused_at = now + secs(0.01);
     let resumed_at = paused_at + secs(5.0);
-    // Whether a timer or the signal is seen first.
+    // This holds whether a timer or the signal is processed first.
     stalls.tick(resumed_at);
     let signal_seen = resumed_at + secs(0.05);
     let earliest = stalls.earliest_signal(signal_seen);
@@ -56,11 +56,11 @@
     let bounds = secs(2.0)..secs(3.0);
     assert!(
         bounds.contains(&left),
-        "it may be killed 3 s from now: {left:?}"
+        "the process may be killed 3 s from now: {left:?}"
     );
-    // What runs isn't broken off for it.
+    // Running answers aren't aborted early because of the stall.
     assert!(schedule.abort_at > signal_seen + secs(7.0));
-    // Long after it a signal is as old as it seems.
+    // Long after the stall, a signal counts from when it is seen.
     let later = resumed_at + secs(2.0);
     let mut tick = resumed_at;
     while tick < later {
@@ -70,7 +70,7 @@
     assert_eq!(stalls.earliest_signal(tick), tick);
 }
 
-/// A host that was frozen for 3 s took datagrams from before for news.
+/// Guards against a host that was frozen for 3 s and took datagrams from before as new.
 #[test]
 fn datagrams_that_may_have_waited_during_a_stall_are_recognized() {
     let start = Instant::now();
@@ -78,7 +78,7 @@
     let mut stalls = StallDetector::new(start);
     stalls.tick(at(200));
     assert!(!stalls.may_have_waited(at(400)));
-    // Before its timers have had a turn, and shortly after.
+    // Both before its timers have ticked, and shortly after.
     assert!(stalls.may_have_waited(at(3200)));
     stalls.tick(at(3200));
     assert!(stalls.may_have_waited(at(3390)));
--- a/crates/gateway/tests/startup_load.rs
+++ b/crates/gateway/tests/startup_load.rs
@@ -1,5 +1,5 @@
-//! Initial state of a host that starts in a large fleet: loaded from a peer, or from the store
-//! if no peer answers.
+//! Tests the initial load of a host that starts in a large fleet: from a peer, or from the store if
+//! no peer answers.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -11,7 +11,7 @@
 use standin::Store;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Rows of a page.
+/// Rows per page.
 const PAGE_ROWS: usize = 100;
 /// More rows than fit on a page, so that a starting host asks its peers.
 const PROCESSES: usize = 120;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Number of calls to the store for a table and kind, from a host's metrics.
+/// Returns the number of store calls of a kind for a table, from a host's metrics.
 async fn store_calls(gateway: &TestGateway, table: &str, kind: &str) -> u64 {
     let text = exchange(gateway.ready, "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
     let (table, kind) = (format!("table=\"{table}\""), format!("kind=\"{kind}\""));
@@ -58,7 +58,7 @@
     let mut system = System::start(1, 1).await;
     write_rows(&system, own_ip(&system.hosts[0]));
     let first = &system.hosts[0];
-    wait_for("the first host's read", || async {
+    wait_for("the first host's feed read", || async {
         store_calls(first, "processes", "feed").await > 1
     })
     .await;
@@ -69,7 +69,7 @@
     // and the crashes. Without the snapshot it would read the whole registry, too.
     assert_eq!(store_calls(second, "registry", "read").await, 0);
     assert_eq!(store_calls(second, "processes", "read").await, 1);
-    wait_for("its row", || async {
+    wait_for("the host's row", || async {
         system.store.has("processes", &second.host.name)
     })
     .await;
@@ -85,7 +85,7 @@
     let former_row = row(Ipv4Addr::LOCALHOST);
     system.store.put_raw("processes", &host.name, &former_row);
     let gateway = start_on(host, own);
-    wait_for("its row", || async {
+    wait_for("the host's row", || async {
         system.store.raw("processes", &gateway.host.name) == Some(row(ip))
     })
     .await;
