--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway in this process, before stand-ins, on loopback addresses of its own.
+//! Runs a gateway in the test process, with stand-ins for store and workers, on its own loopback
+//! addresses.
 
 pub mod crashing;
 
@@ -13,21 +14,21 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest wait for a condition. Far above what any takes, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a condition, far above what any takes even on a busy machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-static NEXT: AtomicU32 = AtomicU32::new(1);
+static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(1);
 
-/// An address that no other test uses: one of the process's own in 127.64.0.0/10.
+/// Returns an address that no other test uses: one of this process's own in 127.64.0.0/10.
 pub fn address() -> Ipv4Addr {
     let process = std::process::id();
-    let n = NEXT.fetch_add(1, Ordering::Relaxed);
+    let n = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     let low = (process << 7) ^ n;
     Ipv4Addr::from(0x7f40_0000 | (low & 0x003f_ffff) | 1 << 21)
 }
 
-/// A gateway with its store.
-pub struct Bed {
+/// A running gateway and its store.
+pub struct TestGateway {
     pub store: Store,
     pub callers: SocketAddr,
     pub ready: SocketAddr,
@@ -36,13 +37,13 @@
     pub host: HostSettings,
 }
 
-impl Drop for Bed {
+impl Drop for TestGateway {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Settings on an address, for a store.
+/// Returns the settings of a host with an address and a store.
 pub fn host(ip: Ipv4Addr, store: SocketAddr) -> HostSettings {
     let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
     HostSettings {
@@ -67,22 +68,22 @@
     }
 }
 
-/// Starts a gateway, without configuration or workers yet.
-pub fn start_bare() -> Bed {
+/// Starts a gateway without configuration and workers.
+pub fn start_without_config() -> TestGateway {
     let ip = address();
     let store = Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap();
     start_on(host(ip, store.addr), store)
 }
 
-/// Starts a gateway on a host for a store.
-pub fn start_on(host: HostSettings, store: Store) -> Bed {
+/// Starts a gateway with a host's settings and a store.
+pub fn start_on(host: HostSettings, store: Store) -> TestGateway {
     let stop = Stop::default();
-    let (run, stopped) = (host.clone(), stop.clone());
+    let (settings, stopped) = (host.clone(), stop.clone());
     let task = tokio::spawn(async move {
         let path = PathBuf::from("/nonexistent/settings");
-        gateway::run(path, run, stopped).await.unwrap();
+        gateway::run(path, settings, stopped).await.unwrap();
     });
-    Bed {
+    TestGateway {
         callers: host.client_addr.unwrap(),
         ready: host.readiness_addr.unwrap(),
         store,
@@ -92,21 +93,21 @@
     }
 }
 
-/// Starts a gateway with the usual routes and so many workers of `plain`.
-pub async fn start(workers: usize) -> (Bed, Vec<Worker>) {
-    let bed = start_bare();
-    let mut out = Vec::new();
-    for n in 0..workers {
+/// Starts a gateway with the default routes and `count` workers of the service `plain`.
+pub async fn start(count: usize) -> (TestGateway, Vec<Worker>) {
+    let gateway = start_without_config();
+    let mut workers = Vec::new();
+    for n in 0..count {
         let id = format!("i-{n}");
-        out.push(bed.add_worker(&id, "plain", None).await);
+        workers.push(gateway.add_worker(&id, "plain", None).await);
     }
-    bed.store.put("op", "config", &config(1, &routes()));
-    bed.wait_ready(200).await;
-    bed.wait_retries(&bed.store).await;
-    (bed, out)
+    gateway.store.put("op", "config", &config(1, &routes()));
+    gateway.wait_ready(200).await;
+    gateway.wait_for_retry_budget(&gateway.store).await;
+    (gateway, workers)
 }
 
-impl Bed {
+impl TestGateway {
     /// Starts a worker and registers it.
     pub async fn add_worker(&self, id: &str, service: &str, stage: Option<&str>) -> Worker {
         let addr = SocketAddr::new(IpAddr::V4(address()), 7100);
@@ -128,7 +129,7 @@
         self.store.put("servers", id, &row);
     }
 
-    /// Waits until readiness is answered with a status.
+    /// Waits until the readiness check returns a status.
     pub async fn wait_ready(&self, status: u16) {
         let ready = self.ready;
         wait_for("readiness", || async move {
@@ -138,14 +139,17 @@
         .await;
     }
 
-    /// Waits until the gateway has its share of the retries: it takes the least until it has
-    /// read who the others are, after which it writes its own row, and looks at them again
-    /// and again. It may be ready before, and then sends nothing a second time.
-    pub async fn wait_retries(&self, store: &Store) {
-        const LOOKS: Duration = Duration::from_millis(300);
+    /// Waits until the gateway has its share of the retry budget. It uses the minimum until it has
+    /// read the list of other processes, then writes its own row and reads the list again
+    /// periodically. It may be ready earlier, but doesn't retry requests until then.
+    pub async fn wait_for_retry_budget(&self, store: &Store) {
+        const REFRESH_TIME: Duration = Duration::from_millis(300);
         let name = &self.host.name;
-        wait_for("its row", || async { store.has("processes", name) }).await;
-        tokio::time::sleep(LOOKS).await;
+        wait_for("its row in the store", || async {
+            store.has("processes", name)
+        })
+        .await;
+        tokio::time::sleep(REFRESH_TIME).await;
     }
 
     /// Waits until a request is answered with a status.
@@ -160,39 +164,39 @@
 }
 
 /// Headers of a prompt with a short answer.
-pub const FEW_TOKENS: &str = "token-counts: 100,5\r\nprompt-prefix: a:50,b:50\r\n";
-/// How long after the stop signal an answer of 1.5 s can still be ended for some time, with a
-/// grace of 8 s, though it may take nearly twice as long on a host that has just started.
-pub const LAST_MOMENT: Duration = Duration::from_millis(3700);
+pub const SHORT_PROMPT_HEADERS: &str = "token-counts: 100,5\r\nprompt-prefix: a:50,b:50\r\n";
+/// Time after the stop signal at which a host with a grace period of 8 s still accepts answers of
+/// 1.5 s for a while, although they may take nearly twice as long on a host that has just started.
+pub const LATE_IN_SHUTDOWN: Duration = Duration::from_millis(3700);
 
-impl Bed {
-    /// Sends so many requests at once; gives their answers.
+impl TestGateway {
+    /// Sends `count` requests at once and returns their answers.
     pub async fn exchange_many(
         &self,
         path: &str,
         id: &str,
-        more: &str,
+        headers: &str,
         count: usize,
     ) -> Vec<String> {
-        let sent = (0..count).map(|n| {
-            let text = request("POST", path, &format!("{id}-{n}"), more, "x");
+        let calls = (0..count).map(|n| {
+            let text = request("POST", path, &format!("{id}-{n}"), headers, "x");
             let callers = self.callers;
             tokio::spawn(async move { exchange(callers, &text).await })
         });
         let mut answers = Vec::new();
-        for answer in sent.collect::<Vec<_>>() {
-            answers.push(answer.await.unwrap());
+        for call in calls.collect::<Vec<_>>() {
+            answers.push(call.await.unwrap());
         }
         answers
     }
 
-    /// Sends a short prompt whose answer begins and never ends, so that the host waits for
-    /// it until its deadline, 4 s later.
-    async fn hold(&self, engine: &Worker, id: &str) -> Client {
+    /// Sends a short prompt whose answer starts and never ends, so that the host waits for it until
+    /// its deadline, 4 s later.
+    async fn start_endless_answer(&self, engine: &Worker, id: &str) -> Client {
         engine.script([Action::EventsThenHang(1..=2)]);
         let mut client = Client::connect(self.callers).await;
         client
-            .send(&request("POST", "/prompt/", id, FEW_TOKENS, "x"))
+            .send(&request("POST", "/prompt/", id, SHORT_PROMPT_HEADERS, "x"))
             .await;
         client.read_until("piece 2").await;
         client
@@ -201,29 +205,32 @@
     /// Adds an engine that generates, and waits until it is used.
     pub async fn add_engine(&self) -> Worker {
         let engine = self.add_worker("i-llm", "llm", Some("decode")).await;
-        let probe = request("POST", "/prompt/", "probe", FEW_TOKENS, "x");
+        let probe = request("POST", "/prompt/", "probe", SHORT_PROMPT_HEADERS, "x");
         self.wait_answer(&probe, 200).await;
         engine
     }
 
-    /// Stops the host, which an engine's answers hold up, and waits until a time after the
-    /// signal, at most 6 s.
+    /// Stops the host while answers of an engine are running, and waits until the given time after
+    /// the signal, at most 6 s.
     pub async fn stop_and_wait(&self, engine: &Worker, after: Duration) -> [Client; 2] {
-        let first = self.hold(engine, "held-1").await;
+        let first = self.start_endless_answer(engine, "held-1").await;
         self.stop.stop();
         let since = tokio::time::Instant::now();
         tokio::time::sleep_until(since + Duration::from_millis(2600)).await;
-        let second = self.hold(engine, "held-2").await;
+        let second = self.start_endless_answer(engine, "held-2").await;
         tokio::time::sleep_until(since + after).await;
         [first, second]
     }
 }
 
-/// Waits for a condition.
+/// Waits until a condition is met.
 pub async fn wait_for<F: Future<Output = bool>>(what: &str, is_met: impl Fn() -> F) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !is_met().await {
-        assert!(Instant::now() < until, "waited too long for {what}");
+        assert!(
+            Instant::now() < deadline,
+            "timeout while waiting for {what}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -235,24 +242,24 @@
     client.read().await
 }
 
-/// A client's connection, byte by byte.
+/// A client's connection with access to the raw bytes.
 pub struct Client {
     pub tcp: TcpStream,
     buf: Vec<u8>,
 }
 
 impl Client {
-    pub fn over(tcp: TcpStream) -> Self {
+    pub fn new(tcp: TcpStream) -> Self {
         let buf = Vec::new();
         Self { tcp, buf }
     }
 
     pub async fn connect(addr: SocketAddr) -> Self {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match TcpStream::connect(addr).await {
-                Ok(tcp) => return Self::over(tcp),
-                Err(e) => assert!(Instant::now() < until, "{addr}: {e}"),
+                Ok(tcp) => return Self::new(tcp),
+                Err(e) => assert!(Instant::now() < deadline, "{addr}: {e}"),
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -262,21 +269,24 @@
         self.tcp.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Reads until the bytes so far contain a text.
+    /// Reads until the received bytes contain a text.
     pub async fn read_until(&mut self, text: &str) -> String {
-        let read = async {
+        let reading = async {
             while !self.text().contains(text) {
                 let n = self.tcp.read_buf(&mut self.buf).await.unwrap_or(0);
                 assert!(n > 0, "closed before {text:?}: {:?}", self.text());
             }
         };
-        tokio::time::timeout(PATIENCE, read).await.expect("in time");
+        tokio::time::timeout(WAIT_TIMEOUT, reading)
+            .await
+            .expect("timeout while reading");
         self.text()
     }
 
-    /// Reads until the connection ends; says whether it was closed in order.
+    /// Reads until the connection ends; returns the text and whether the connection was closed
+    /// cleanly.
     pub async fn read_to_end(&mut self) -> (String, bool) {
-        let read = async {
+        let reading = async {
             loop {
                 match self.tcp.read_buf(&mut self.buf).await {
                     Ok(0) => return true,
@@ -285,15 +295,17 @@
                 }
             }
         };
-        let in_order = tokio::time::timeout(PATIENCE, read).await.expect("in time");
-        (self.text(), in_order)
+        let is_clean = tokio::time::timeout(WAIT_TIMEOUT, reading)
+            .await
+            .expect("timeout while reading");
+        (self.text(), is_clean)
     }
 
-    /// Reads one answer: by its length, or by its last chunk, or to the end.
+    /// Reads one answer: by its length, up to its last chunk, or to the end of the connection.
     pub async fn read(&mut self) -> String {
-        let read = async {
+        let reading = async {
             loop {
-                if let Some(len) = whole(&self.buf) {
+                if let Some(len) = answer_len(&self.buf) {
                     let rest = self.buf.split_off(len);
                     let text = std::mem::replace(&mut self.buf, rest);
                     return String::from_utf8_lossy(&text).into_owned();
@@ -305,7 +317,9 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, read).await.expect("in time")
+        tokio::time::timeout(WAIT_TIMEOUT, reading)
+            .await
+            .expect("timeout while reading")
     }
 
     pub fn text(&self) -> String {
@@ -313,8 +327,8 @@
     }
 }
 
-/// Length of the answer at the start of a buffer, once it is whole.
-fn whole(buf: &[u8]) -> Option<usize> {
+/// Returns the length of the answer at the start of a buffer once it is complete.
+fn answer_len(buf: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(buf).ok()?;
     let head = text.find("\r\n\r\n")? + 4;
     let headers = text[..head].to_ascii_lowercase();
@@ -327,7 +341,7 @@
     (buf.len() >= head + len).then_some(head + len)
 }
 
-/// The status of an answer's text.
+/// Returns the status code of an answer.
 pub fn status(text: &str) -> u16 {
     let code = text.split(' ').nth(1).unwrap_or("");
     code.parse()
--- a/crates/gateway/tests/fairness.rs
+++ b/crates/gateway/tests/fairness.rs
@@ -1,9 +1,10 @@
-//! Who is served by tenant, without a network: a large tenant's burst before full engines.
+//! Tests how evenly tenants are served during a large tenant's burst on full engines, without a
+//! network.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
 
-use fixtures::{gateway_with, learn_speed};
+use fixtures::{gateway_with, train_latency_model};
 use gateway::choose::{Choice, Requirements, choose};
 use gateway::fleet::latency::Task;
 use gateway::state::{Gateway, LoadGuard};
@@ -12,18 +13,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of all requests' share of served ones that each tenant's must reach.
-const LEAST: f64 = 0.25;
-/// Requests in all, and how many of them run on until an engine is through with one.
+/// Minimum fraction of the small tenants' requests that must be served, relative to that of all
+/// requests.
+const MIN_RELATIVE_SHARE: f64 = 0.25;
+/// Number of requests, and maximum number of them that run at once.
 const REQUESTS: u64 = 4000;
-const AT_ONCE: usize = 60;
+const MAX_RUNNING: usize = 60;
 
-/// Sends a prompt with a part of its own; none if it is refused.
+/// Sends a prompt with an own part; returns `None` if it is refused.
 fn send(gateway: &Arc<Gateway>, id: u64) -> Option<LoadGuard> {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = [part(1, 6300), part(1000 + id, 2900)];
     let service = gateway.fleet().intern_service("s");
-    let need = Requirements {
+    let requirements = Requirements {
         service,
         parts: &parts,
         prompt_tokens: 9200,
@@ -33,39 +35,40 @@
         is_isolated: false,
         tried: &[],
     };
-    match choose(gateway, &need) {
+    match choose(gateway, &requirements) {
         Choice::Send(plan) => Some(gateway.add_load(plan.key, plan.inputs.uncached, plan.is_long)),
         Choice::Busy(..) | Choice::NoUpstream => None,
     }
 }
 
-/// A tenant with nine tenths of the requests, in bursts that are more than the engines, and
-/// twenty small ones: admission knows no tenant, so each is refused about as often.
+/// One tenant sends nine tenths of the requests, in bursts that exceed the engines' capacity, and
+/// twenty small tenants send the rest. Admission doesn't distinguish tenants, so each is refused
+/// about as often.
 #[test]
-fn a_large_tenants_burst_starves_no_small_one() {
+fn the_burst_of_a_large_tenant_does_not_starve_small_ones() {
     let gateway = gateway_with(&[Stage::Decode; 6]);
-    learn_speed(&gateway, Task::Generate, 300.0);
+    train_latency_model(&gateway, Task::Generate, 300.0);
     let mut running: VecDeque<LoadGuard> = VecDeque::new();
-    let (mut asked, mut served) = ([0u64; 2], [0u64; 2]);
+    let (mut sent, mut served) = ([0u64; 2], [0u64; 2]);
     for id in 0..REQUESTS {
         let is_small = usize::from(id % 10 == 7);
-        asked[is_small] += 1;
+        sent[is_small] += 1;
         if let Some(load) = send(&gateway, id) {
             served[is_small] += 1;
             running.push_back(load);
         }
-        // In the bursts nothing ends between two requests.
+        // During a burst, no request ends between two others.
         let is_burst = (id / 200) % 2 == 0;
-        if running.len() > AT_ONCE || !is_burst {
+        if running.len() > MAX_RUNNING || !is_burst {
             running.pop_front();
         }
     }
-    let share = |s: u64, a: u64| s as f64 / a as f64;
-    let all = share(served[0] + served[1], asked[0] + asked[1]);
-    assert!(all < 0.9, "nothing binds: {all}");
-    let small = share(served[1], asked[1]);
+    let share = |served: u64, sent: u64| served as f64 / sent as f64;
+    let all = share(served[0] + served[1], sent[0] + sent[1]);
+    assert!(all < 0.9, "the engines are not full: {all} served");
+    let small = share(served[1], sent[1]);
     assert!(
-        small >= all * LEAST,
-        "{small} of the small ones, {all} of all"
+        small >= all * MIN_RELATIVE_SHARE,
+        "served: {small} of the small tenants' requests, {all} of all"
     );
 }
