--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -1,4 +1,5 @@
-//! Callers' keys: who may send what, from the first byte to the last send.
+//! Tests which requests are accepted by their API key, and what happens if a key is removed while
+//! a request runs.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -8,12 +9,11 @@
 use standin::{Act, Worker};
 use std::time::Duration;
 
-/// Far longer than a configuration takes to be in force.
+/// Time after which a stream is reset; far longer than a configuration takes to come into force.
 const RESET_AFTER: Duration = Duration::from_millis(2500);
 const KEY: &str = "key: k-one\r\n";
 
-/// A configuration in which keys are in force: `k-one` and `k-two` of `one`, and the route
-/// `safe` of no use without one.
+/// A configuration with the tenant `one` and its keys. The routes require a key, except for `open`.
 fn config_with_keys(version: u64, keys: &[&str]) -> Value {
     let mut routes = routes();
     let mut open = routes[0].clone();
@@ -38,14 +38,14 @@
     (bed, workers)
 }
 
-/// Writes a configuration and waits until a key is treated by it.
+/// Writes a configuration and waits until a request with the key gets the status.
 async fn put_and_wait(bed: &Bed, config: &Value, key: &str, status: u16) {
     bed.store.put("op", "config", config);
     let probe = request("GET", "/safe/", "probe", &format!("key: {key}\r\n"), "");
     bed.wait_answer(&probe, status).await;
 }
 
-/// What workers saw of a request's tenant and key.
+/// For each time that workers received a request: its tenant, and whether it had a key.
 fn forwarded(workers: &[Worker], id: &str) -> Vec<(Option<String>, bool)> {
     let all = workers.iter().flat_map(Worker::seen);
     let ours = all.filter(|s| s.id() == id);
@@ -81,7 +81,7 @@
     assert_eq!(
         forwarded(&workers, "good"),
         [(Some("one".to_owned()), false)],
-        "the tenant is told and the key isn't"
+        "the tenant is forwarded and the key isn't"
     );
 }
 
@@ -141,7 +141,7 @@
     })
     .await;
     put_and_wait(&bed, &config_with_keys(3, &["k-two"]), "k-one", 401).await;
-    // What the upstream says of its own is passed on: it has run.
+    // The upstream's response is forwarded, as the request has run.
     let res = client.read().await;
     assert_eq!(status(&res), 500, "{res}");
     assert_eq!(forwarded(&workers, "again").len(), 1);
@@ -181,7 +181,7 @@
     let (bed, _workers) = start_with_keys(1).await;
     put_and_wait(&bed, &config_with_keys(3, &["k-two"]), "k-one", 401).await;
     put_and_wait(&bed, &config_with_keys(4, &["k-one"]), "k-one", 200).await;
-    // An older version that comes late changes nothing.
+    // An older version that arrives late has no effect.
     bed.store
         .put("op", "config", &config_with_keys(3, &["k-two"]));
     bed.store
@@ -197,7 +197,7 @@
     let bed = common::start_bare();
     let engine = bed.add_worker("i-llm", "llm", Some("decode")).await;
     engine.usually(Act::Events(1..=2));
-    // The route's own is 1.
+    // The route's priority is 1.
     let mut config = config(2, &routes());
     let tenants = [
         ("urgent", json!(0)),
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, against stand-ins of the store and the engines.
+//! Tests orders to engines, with a simulated store and simulated engines.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
@@ -8,7 +8,7 @@
 use standin::{Act, Store, Worker, fixture};
 use std::net::{IpAddr, SocketAddr};
 
-/// An engine that answers reports and orders.
+/// Behaviour of an engine that answers report requests, and orders with a status.
 fn answer_orders(order_status: u16) -> Act {
     Act::Engine {
         stage: "decode",
@@ -17,14 +17,14 @@
     }
 }
 
-/// Four readers and eight generators.
+/// Four prefill engines and eight generators.
 const TWELVE_STAGES: [&str; 12] = [
     "prefill", "prefill", "prefill", "prefill", "decode", "decode", "decode", "decode", "decode",
     "decode", "decode", "decode",
 ];
 
-/// A gateway that starts with the whole system, before engines with 64 slots that have
-/// these stages and do this with each request.
+/// Starts a gateway as part of the first start of the whole system, with engines of 64 slots that
+/// have the given stages and treat each request according to `act`.
 async fn start_with_engines(
     stages: &[&str],
     act: Act,
@@ -52,7 +52,7 @@
     (bed, workers)
 }
 
-/// Lets the engines serve, and waits until a prompt is answered.
+/// Lets the engines answer prompts, and waits until one is answered.
 async fn wait_until_served(bed: &Bed, workers: &[Worker]) {
     for worker in workers {
         worker.usually(Act::Echo);
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// The engines that have orders.
+/// Indices of the engines that received orders.
 fn engines_with_orders(workers: &[Worker]) -> Vec<usize> {
     let all = workers.iter().enumerate();
     all.filter(|(_, w)| !orders(w).is_empty())
@@ -94,7 +94,7 @@
     let lease = bed.store.value("leases", "orders").unwrap();
     assert_eq!(lease["holder"], json!(bed.host.ip.to_string()));
     for n in engines_with_orders(&workers) {
-        assert!(n >= 4, "i-{n} reads already");
+        assert!(n >= 4, "i-{n} is a prefill engine already");
         let expected = json!({
             "Operation": "Stage", "Stage": "prefill", "Holder": bed.host.ip.to_string(),
             "FencingToken": lease["token"], "ExpectedRevision": 4,
@@ -111,14 +111,14 @@
 
 #[tokio::test]
 async fn no_order_is_sent_while_another_host_holds_the_lease() {
-    // Another host's lease that ends long after this test.
+    // A lease of another host that expires long after this test.
     let lease = json!({"holder": "10.0.0.9", "token": 3, "until_ms": 3_600_000});
     let prepare = |store: &Store| {
         store.put("leases", "orders", &lease);
     };
     let (bed, workers) = start_with_engines(&["decode"; 4], answer_orders(202), prepare).await;
     let store = &bed.store;
-    wait_for("a look at the lease", || async {
+    wait_for("a read of the lease", || async {
         store.reads("leases") > 0
     })
     .await;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What peers tell each other, against naive sums.
+//! Tests what processes learn from their peers: load, reads of the registry and changes of it.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -53,7 +53,7 @@
     let mut peers = Peers::default();
     let start = Instant::now();
     let ip = |n: u16| IpAddr::V4(Ipv4Addr::new(10, 1, (n >> 8) as u8, n as u8));
-    // As many processes as tell each other directly, each heard once in a round.
+    // The size of the largest full mesh. Each peer sends one status per round.
     const PEERS: u16 = 16;
     let round_time = gateway::peers::exchange::direct_send_interval(PEERS.into()) * 3;
     let pause = round_time / u32::from(PEERS);
@@ -72,7 +72,7 @@
     assert_eq!(peers.live(later).count(), 0);
 }
 
-/// Number, time and loads of what a peer last said.
+/// Number, time and loads of the last status of a peer.
 type KnownStatus = (u64, Instant, Vec<(u32, u32)>);
 
 #[test]
@@ -138,7 +138,7 @@
     let read = both().into_iter().map(Registration::Present).collect();
     merge_from_store(&gateway, read, true, 5, now);
     assert_eq!(gateway.fleet().len(), 2);
-    // A peer has read since that one has gone; a read from before comes late.
+    // A peer has read since the removal; then an older read arrives late.
     let view = vec![Registration::Present(kept.clone())];
     merge_from_peer(&gateway, view, true, 9);
     let late = both().into_iter().map(Registration::Present).collect();
@@ -164,17 +164,17 @@
         gateway.confirm_registry(read);
         gateway.registry().read_at
     };
-    // Another view, an older version and an older read tell nothing.
+    // Another view, an older version or an older read confirms nothing.
     assert_eq!(confirmed_read_at(read(8, own.view + 1, 2000)), own.read_at);
     assert_eq!(confirmed_read_at(read(6, own.view, 2000)), own.read_at);
     assert_eq!(confirmed_read_at(read(7, own.view, 999)), own.read_at);
-    // While nothing changes, a new read has the old version.
+    // While nothing changes, a new read returns the old version.
     assert_eq!(confirmed_read_at(read(7, own.view, 2000)), later);
 }
 
-/// Two readers were frozen for 3 s. The others told each other of the last read, which took
-/// some ms each time, so that it never grew old: nobody read for 4.4 s, and an upstream that
-/// left got requests for too long.
+/// Two processes that read the registry were frozen for 3 s. The others reported the last read to
+/// each other, and its age lost the transit time of some ms each time, so it never grew. No
+/// process read for 4.4 s, and an upstream that had left got requests for too long.
 #[test]
 fn a_read_reported_in_a_cycle_still_ages() {
     let both = [gateway_with(&[]), gateway_with(&[])];
@@ -185,7 +185,7 @@
     }
     let transit = Duration::from_millis(8);
     for n in 0..200u32 {
-        // A datagram each 10 ms; it tells the age that the read had when it was sent.
+        // A datagram every 10 ms, with the age of the read when it was sent.
         let (from, to) = (&both[n as usize % 2], &both[(n as usize + 1) % 2]);
         let sent_at = started + Duration::from_millis(10) * n;
         let reported = from.registry();
@@ -198,7 +198,7 @@
     assert!(both.iter().all(|g| g.registry().read_at == started));
 }
 
-/// A process that stood still has the answers and the datagrams of before in its queues.
+/// After a pause, a process has old answers and datagrams in its queues.
 #[test]
 fn the_age_of_a_read_counts_from_its_request() {
     let gateway = gateway_with(&[]);
@@ -206,7 +206,7 @@
     gateway.set_registry(7);
     gateway.record_read(7, asked_at, 1000);
     assert_eq!(gateway.registry().read_at, asked_at);
-    // An answer that a later one has overtaken changes nothing.
+    // An answer that arrives after a later one has no effect.
     gateway.record_read(7, asked_at + Duration::from_secs(3), 900);
     assert_eq!(gateway.registry().read_at, asked_at);
 }
@@ -222,11 +222,11 @@
     };
     merge_from_store(&gateway, read(&[&kept, &expired]), true, 5, now);
     assert_eq!(gateway.shareable_registry().unwrap().version, 5);
-    // The store was away; its first read afterwards misses one.
+    // The first read after an outage of the store lacks one upstream.
     gateway.missing().begin_grace_period(now);
     merge_from_store(&gateway, read(&[&kept]), true, 9, now);
     assert!(gateway.fleet().find("i-2").is_some(), "it may come back");
-    // What is known is more than version 9 says, and peers must not adopt it.
+    // The process knows more than version 9 contains, and peers must not adopt that.
     assert!(gateway.shareable_registry().is_none());
     let before = gateway.registry().version;
     gateway.confirm_registry(RegistryState {
@@ -236,10 +236,10 @@
         view: gateway.registry().view,
     });
     assert_eq!(gateway.registry().version, before);
-    // It is back in time.
+    // The upstream comes back in time.
     merge_from_store(&gateway, read(&[&expired]), false, 13, now);
     assert_eq!(gateway.shareable_registry().unwrap().version, 13);
-    // It goes for good.
+    // The upstream is removed.
     merge_from_store(
         &gateway,
         vec![Registration::Removed { id: "i-2".into() }],
@@ -290,15 +290,15 @@
     gateway.missing().begin_grace_period(last_bad);
     let one = vec![both[0].clone()];
     merge_from_store(&gateway, one, true, 9, first_good);
-    // A read is due when the time is up, however fresh the last one is.
-    let until = gateway.missing().expires_at().expect("one is held back");
+    // A read is due at the end of the grace period, however recent the last one is.
+    let until = gateway.missing().expires_at().expect("one is missing");
     assert_eq!(until, last_bad + Duration::from_secs(2));
     merge_from_store(&gateway, Vec::new(), false, 9, until);
     assert!(gateway.fleet().find("i-2").is_none());
     assert!(gateway.missing().expires_at().is_none());
 }
 
-/// An engine with a number beyond those of [`instance`].
+/// An engine with a number that may exceed those of [`instance`].
 fn numbered_engine(n: u16) -> Instance {
     Instance {
         id: format!("i-{n}"),
@@ -306,7 +306,8 @@
     }
 }
 
-/// What a peer tells of its registry since a version, as this process takes it.
+/// Applies a peer's changes since the known version. Returns whether the registry then equals the
+/// peer's, or is newer.
 fn apply_changes_from(peer: &Gateway, own: &Arc<Gateway>) -> bool {
     let since = own.registry().version;
     let changes = peer.changes_since(since).expect("the peer knows them");
@@ -315,9 +316,9 @@
 
 #[test]
 fn one_change_among_thousands_of_upstreams_is_sent_alone() {
-    // The pattern is 3,000 upstreams, ten for each of 300 hosts. When every host
-    // fetched them all at each change, the host that had read the change first was
-    // asked for 190 times 270 KB, half a minute of its link of 20 Mbit/s.
+    // The largest fleet has 3,000 upstreams, ten for each of 300 hosts. When every host fetched
+    // them all at each change, the host that had read the change first had to send 270 KB 190
+    // times, which takes half a minute on its link of 20 Mbit/s.
     const UPSTREAMS: u16 = 3000;
     let all: Vec<Instance> = (0..UPSTREAMS).map(numbered_engine).collect();
     let read = || all.iter().cloned().map(Registration::Present).collect();
@@ -336,12 +337,12 @@
     merge_from_store(&peer, changes, false, 8, now);
     let sent = peer.changes_since(5).expect("the peer knows them");
     assert_eq!((sent.present.len(), sent.gone.len()), (1, 1));
-    // Two upstreams, whatever the number of those that didn't change.
+    // The size of two upstreams, regardless of how many didn't change.
     assert!(wire::encode_compact(&sent).len() < 256);
     assert!(apply_changes_from(&peer, &own));
     assert_eq!(own.registry().version, 8);
     assert_eq!(own.fleet().view(), peer.fleet().view());
-    // What was taken is told on to the next.
+    // The changes that were applied are sent on to the next process.
     let next = gateway_with(&[]);
     merge_from_store(&next, read(), true, 5, now);
     assert!(apply_changes_from(&own, &next));
@@ -354,7 +355,7 @@
     let now = Instant::now();
     let one = |n| Registration::Present(instance(n, Stage::Decode));
     merge_from_store(&peer, vec![one(1), one(2)], true, 5, now);
-    // This process missed an upstream, by a row that couldn't be decoded.
+    // This process lacks an upstream, as its row couldn't be decoded.
     merge_from_store(&own, vec![one(1)], true, 5, now);
     merge_from_store(&peer, vec![one(3)], false, 6, now);
     assert!(!apply_changes_from(&peer, &own));
@@ -368,9 +369,12 @@
     merge_from_store(&peer, vec![one(1)], true, 5, now);
     let is_whole = |since| peer.changes_since(since).unwrap().is_whole;
     assert!(is_whole(0), "a process that has just started knows none");
-    assert!(is_whole(4), "it was changed before this process started");
+    assert!(
+        is_whole(4),
+        "the change was made before this process started"
+    );
     assert!(!is_whole(5));
-    // Nor are those that are longer ago than it keeps.
+    // Changes beyond the limit of the history aren't known either.
     for version in 6..6000 {
         let leaving = Instance {
             is_draining: version % 2 == 0,
@@ -388,7 +392,7 @@
     }
     assert!(is_whole(100));
     assert!(!is_whole(5990));
-    // What it tells is all that it knows.
+    // The whole registry replaces what the receiver knew.
     let own = gateway_with(&[]);
     merge_from_store(&own, vec![one(1), one(7)], true, 4, now);
     assert!(apply_changes_from(&peer, &own));
@@ -409,8 +413,8 @@
 
 #[test]
 fn an_outage_of_the_store_costs_few_calls() {
-    // The pattern is 103 processes that each follow three tables through an outage of
-    // 8 s: each call is paid for, also one that fails.
+    // 103 processes each follow three tables during an outage of 8 s. Each call costs money, even
+    // if it fails.
     let calls = |is_reader: bool| {
         let (mut left, mut calls) = (8.0, 0);
         while left > 0.0 {
@@ -420,9 +424,9 @@
         calls
     };
     assert!(calls(false) <= 7, "{}", calls(false));
-    // Those whom the others hear from notice the return within half a second.
+    // The readers, on which the others depend, notice the return within half a second.
     assert!(retry_pause(1000, true, 1.0) <= Duration::from_millis(500));
-    // The others are back within the time in which bounds don't count yet.
+    // The others notice it within the time after an outage in which the bounds don't apply.
     assert!(retry_pause(1000, false, 1.0) <= Duration::from_secs(2));
 }
 
@@ -433,11 +437,11 @@
     assert!(unreadable.record_failure(ip(1)));
     assert!(!unreadable.record_failure(ip(1)));
     assert!(unreadable.record_failure(ip(2)));
-    // It was started anew with this version, and later with the former one.
+    // The peer restarts with this version, and later with the other one again.
     unreadable.record_success(ip(1));
     assert!(unreadable.record_failure(ip(1)));
     assert!(!unreadable.record_failure(ip(2)));
-    // Whoever sends from many addresses fills neither memory nor log.
+    // A sender with many addresses can't fill the memory or the log.
     let logged = (10..10_000)
         .filter(|n| unreadable.record_failure(ip(*n)))
         .count();
--- a/crates/gateway/tests/quotas.rs
+++ b/crates/gateway/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants over one and several gateways in this process, against simulated services.
+//! Tests tenant quotas with one and several gateways in this process, against simulated services.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What a client gets and what workers see, for each way in which a worker may answer.
+//! Tests what clients and workers receive, for each way in which a worker may answer or fail.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -93,8 +93,8 @@
         Act::UnframedReset("half".into()),
         Act::Unsigned("no proof".into()),
     ];
-    // The route allows two attempts and there are two workers, so that only the
-    // kind of request keeps it from being sent again.
+    // The route allows two attempts and there are two workers, so only the route type prevents a
+    // retry.
     let (bed, workers) = start(2).await;
     let runs = |id: &str| {
         let seen = workers.iter().flat_map(|w| w.seen());
@@ -109,7 +109,7 @@
         assert_eq!(status(&res), 502, "{act:?}");
         assert!(!res.contains("retry-after"), "{act:?}");
         assert_eq!(runs(&id), 1, "{act:?}");
-        // The other's act is used up, and neither is suspended for the next case.
+        // Uses up the other worker's act, and keeps both from being suspended in the next case.
         for repeat in 0..12 {
             let id = format!("id-{n}-{repeat}");
             exchange(bed.callers, &request("GET", "/safe/", &id, "", "")).await;
@@ -124,7 +124,7 @@
         worker.script([Act::Close]);
     }
     let res = exchange(bed.callers, &request("GET", "/safe/", "id-1", "", "")).await;
-    // Both were tried once, and there is no third attempt.
+    // Each worker was tried once, and there is no third attempt.
     assert_eq!(status(&res), 502);
     let res = exchange(bed.callers, &request("GET", "/safe/", "id-2", "", "")).await;
     assert_eq!(status(&res), 200);
@@ -229,7 +229,7 @@
     drop(client);
     let started = std::time::Instant::now();
     workers[0].wait_closed_by_caller(2).await;
-    // Its deadline of 4 s would end it too.
+    // The deadline of 4 s would also end the request.
     assert!(started.elapsed() < Duration::from_secs(2));
 }
 
@@ -248,7 +248,7 @@
 #[tokio::test]
 async fn an_idempotent_request_is_retried_soon_if_its_worker_is_silent() {
     let (bed, workers) = start(2).await;
-    // Each is silent once, so the first request may meet both; the next meets none.
+    // Each worker is silent once. The first request may use up both, and the next one neither.
     for worker in &workers {
         worker.script([Act::Hang]);
     }
@@ -256,23 +256,23 @@
     assert_eq!(
         status(&res),
         504,
-        "two attempts at most, and the second waits"
+        "there are two attempts at most, and the second one waits"
     );
     workers[0].script([Act::Hang]);
     let before: usize = workers.iter().map(|w| w.seen().len()).sum();
-    // Idle workers are chosen by chance: requests are sent until one meets the
-    // silence, and so is seen by both.
+    // Idle workers are chosen at random. Requests are sent until one reaches the silent worker, and
+    // is therefore received by both.
     let mut sent = 0;
     loop {
         sent += 1;
-        assert!(sent <= 200, "one of them meets the silence");
+        assert!(sent <= 200, "no request reached the silent worker");
         let started = std::time::Instant::now();
         let id = format!("id-{}", sent + 1);
         let res = exchange(bed.callers, &request("GET", "/safe/", &id, "", "")).await;
         assert_eq!(status(&res), 200);
         assert!(
             started.elapsed() < Duration::from_secs(3),
-            "its deadline is 4 s"
+            "the request waited for its deadline of 4 s"
         );
         let seen: usize = workers.iter().map(|w| w.seen().len()).sum();
         if seen - before > sent {
--- a/crates/gateway/tests/restarts.rs
+++ b/crates/gateway/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Upstreams that start again under their id, and entries that name none to use, against
-//! stand-ins of the store and the workers.
+//! Tests upstreams that restart under their id, and registry entries that can't be used, with a
+//! simulated store and simulated workers.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A start of a worker, and a later one by its clock.
+/// Start times of a worker, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_700_000_000_000;
 const SECOND_START_MS: u64 = FIRST_START_MS + 5000;
 
@@ -75,7 +75,7 @@
         workers.push(add_worker(&bed, kind, FIRST_START_MS, "ready").await);
     }
     let callers = bed.callers;
-    wait_for("requests at all", || async {
+    wait_for("requests at every worker", || async {
         exchange(callers, &get_request("before")).await;
         workers.iter().all(|w| !w.seen().is_empty())
     })
@@ -83,25 +83,28 @@
     for (kind, value) in &kinds {
         bed.store.put_raw("servers", kind, value);
     }
-    wait_for("requests at the readable one alone", || async {
-        let before: Vec<usize> = workers.iter().map(|w| w.seen().len()).collect();
-        for n in 0..3 * workers.len() {
-            let res = exchange(callers, &get_request(&format!("id-{n}"))).await;
-            assert_eq!(status(&res), 200);
-        }
-        before.iter().eq(workers
-            .iter()
-            .map(|w| w.seen().len())
-            .collect::<Vec<_>>()
-            .iter())
-    })
+    wait_for(
+        "requests only at the worker with a readable entry",
+        || async {
+            let before: Vec<usize> = workers.iter().map(|w| w.seen().len()).collect();
+            for n in 0..3 * workers.len() {
+                let res = exchange(callers, &get_request(&format!("id-{n}"))).await;
+                assert_eq!(status(&res), 200);
+            }
+            before.iter().eq(workers
+                .iter()
+                .map(|w| w.seen().len())
+                .collect::<Vec<_>>()
+                .iter())
+        },
+    )
     .await;
-    // Each comes back with a row that can be read.
+    // Each worker is used again once its row can be decoded.
     let seen: Vec<usize> = workers.iter().map(|w| w.seen().len()).collect();
     for ((kind, _), worker) in kinds.iter().zip(&workers) {
         put_row(&bed, worker, kind, FIRST_START_MS, "ready");
     }
-    wait_for("requests at all again", || async {
+    wait_for("requests at every worker again", || async {
         exchange(callers, &get_request("after")).await;
         workers.iter().zip(&seen).all(|(w, n)| w.seen().len() > *n)
     })
@@ -137,7 +140,7 @@
     host.is_first_start = true;
     let _bed = start_on(host, store);
     let reports_requested = |w: &Worker| w.seen().iter().filter(|s| s.path == "/report").count();
-    // Each that is asked twice was passed over once.
+    // The first report of an engine that is asked twice led to no order.
     wait_for("reports", || async {
         workers.iter().any(|w| reports_requested(w) > 1)
     })
@@ -159,10 +162,10 @@
     let prompt = |id: &str| request("POST", "/prompt/x", id, headers, "");
     prefill_engine.usually(Act::Prefilled("later".into()));
     bed.wait_answer(&prompt("before"), 200).await;
-    // The new start is told while the earlier one reads. A busy machine may hear of it
-    // only after the prompt was read, so this is tried until it is heard in time.
+    // The new start is registered during the prefill of the earlier one. On a busy machine, the
+    // gateway may learn of it only after the prefill, so this is repeated until it does in time.
     let rounds = AtomicU64::new(0);
-    wait_for("a prompt that isn't taken", || async {
+    wait_for("a prompt whose KV cache isn't used", || async {
         let round = rounds.fetch_add(1, Ordering::Relaxed);
         let answer = Act::Prefilled("earlier".into());
         prefill_engine.script([Act::After(Duration::from_secs(2), Box::new(answer))]);
@@ -170,7 +173,7 @@
         let req = prompt(&id);
         let task = tokio::spawn(async move { exchange(callers, &req).await });
         let has_reached_prefill_engine = || prefill_engine.seen().iter().any(|s| s.id() == id);
-        wait_for("the prompt to be read", || async {
+        wait_for("the prompt to reach the prefill engine", || async {
             has_reached_prefill_engine() || task.is_finished()
         })
         .await;
--- a/crates/gateway/tests/scaling.rs
+++ b/crates/gateway/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! How many upstreams a zone is to have, by the load that asks for them.
+//! Tests how many upstreams autoscaling orders for the load of a zone.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -49,7 +49,7 @@
     let mut demand = Demand::new(started);
     let mut orders = Vec::new();
     for step in 0..1200u32 {
-        // Ten seconds of load and ten of none, for five minutes.
+        // Ten seconds with load and ten nearly without, for five minutes.
         let now = started + Duration::from_millis(250) * step;
         let running = if (step / 40) % 2 == 0 { 28 } else { 1 };
         demand.sample(occupancy(running, 5), BOUNDS, now);
@@ -102,7 +102,7 @@
     let call = &cloud.calls()[0];
     assert_eq!(call.path, "/scale");
     assert_eq!((&*call.holder, call.token), (&*bed.host.name, 1));
-    // Twelve at once at eight slots each, of which 0.6 are to be in use.
+    // Twelve concurrent requests, at 0.6 of eight slots per upstream.
     let order = json!({"Service": "plain", "Zone": "zone-a", "DesiredCount": 3});
     assert_eq!(call.body, order);
 }
--- a/crates/gateway/tests/splits.rs
+++ b/crates/gateway/tests/splits.rs
@@ -1,4 +1,4 @@
-//! Prompts that one engine reads and another answers, while engines fail.
+//! Tests prompts that are prefilled on one engine and answered by another while engines fail.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod common;
@@ -6,10 +6,10 @@
 use common::{Bed, config, exchange, request, routes, start_bare, status};
 use standin::{Act, Worker};
 
-/// Prompts that are sent one after the other.
+/// Number of prompts, sent one after the other.
 const PROMPTS: u32 = 12;
 
-/// A gateway before two readers, where all prompts are read, and two generators.
+/// Starts a gateway with two prefill engines, which prefill all prompts, and two generators.
 async fn start_split() -> (Bed, [Worker; 2], [Worker; 2]) {
     let bed = start_bare();
     let prefill_engines = [
@@ -30,7 +30,7 @@
     (bed, prefill_engines, generators)
 }
 
-/// Sends prompts that may go on elsewhere; all must be answered.
+/// Sends prompts on a route that allows retries; all must be answered.
 async fn send_prompts(bed: &Bed) {
     for part in 1..=PROMPTS {
         let headers =
@@ -52,38 +52,42 @@
     seen.filter(|s| s.id() == id).count()
 }
 
-/// No generator was given a prompt to read.
+/// Asserts that no generator had to prefill a prompt.
 fn assert_none_prefilled(generators: &[Worker]) {
     for seen in generators.iter().flat_map(Worker::seen) {
         assert!(
             seen.header("kv-source").is_some(),
-            "{} is read again",
+            "{} is prefilled again",
             seen.id()
         );
     }
 }
 
-/// One of the generators rejects all, as just after a crash.
+/// One of the generators rejects all requests, as just after a crash.
 #[tokio::test]
 async fn a_rejected_prefilled_prompt_goes_to_the_next_generator() {
     let (bed, prefill_engines, generators) = start_split().await;
     generators[0].usually(Act::Reject(503));
     send_prompts(&bed).await;
-    assert!(!generators[0].seen().is_empty(), "it was asked");
+    assert!(!generators[0].seen().is_empty(), "it was tried");
     for part in 1..=PROMPTS {
         let id = format!("id-{part}");
-        assert_eq!(request_count(&prefill_engines, &id), 1, "{id} is read once");
+        assert_eq!(
+            request_count(&prefill_engines, &id),
+            1,
+            "{id} is prefilled once"
+        );
     }
     assert_none_prefilled(&generators);
 }
 
-/// One of the generators breaks off before its first event.
+/// One of the generators closes the connection before its first event.
 #[tokio::test]
 async fn a_retry_avoids_the_generator_that_failed() {
     let (bed, prefill_engines, generators) = start_split().await;
     generators[0].usually(Act::Close);
     send_prompts(&bed).await;
-    assert!(!generators[0].seen().is_empty(), "it was asked");
+    assert!(!generators[0].seen().is_empty(), "it was tried");
     for part in 1..=PROMPTS {
         let id = format!("id-{part}");
         assert!(
@@ -91,13 +95,16 @@
             "{id} is sent there once"
         );
         let prefills = request_count(&prefill_engines, &id);
-        assert!((1..=2).contains(&prefills), "{id} is read {prefills} times");
+        assert!(
+            (1..=2).contains(&prefills),
+            "{id} is prefilled {prefills} times"
+        );
     }
     assert_none_prefilled(&generators);
 }
 
-/// A generator breaks off in the middle of its answer: the rest comes from the other,
-/// and the prompt is read where it lies already.
+/// Each generator breaks off in the middle of its first answer to a prompt. The other one generates
+/// the rest, after another prefill on an engine that has the prompt in its cache.
 #[tokio::test]
 async fn a_broken_split_stream_is_resumed_on_another_generator() {
     let (bed, prefill_engines, generators) = start_split().await;
@@ -122,12 +129,12 @@
         assert_eq!(
             request_count(&prefill_engines, &id),
             2,
-            "{id} is read for each run"
+            "{id} is prefilled for each run"
         );
     }
 }
 
-/// Both generators reject all, on a route of one attempt.
+/// Both generators reject all requests, on a route that allows one attempt.
 #[tokio::test]
 async fn no_more_generators_are_tried_than_the_route_allows_attempts() {
     let (bed, _readers, generators) = start_split().await;
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -1,5 +1,5 @@
-//! What stays and what goes when an upstream starts again under its id, and which of two
-//! rows of an id counts.
+//! Tests which state is kept when an upstream restarts under its id, and which of two rows of an id
+//! counts.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -40,7 +40,7 @@
     Registration::Unreadable(UnreadableRow { id, row, why })
 }
 
-/// A fleet that has taken rows in order, with what came of the last.
+/// A fleet after merging rows in order, with the outcome of the last one.
 fn fleet_from_rows(rows: impl IntoIterator<Item = Instance>) -> (Fleet, MergeOutcome) {
     let mut fleet = Fleet::default();
     let mut last = MergeOutcome::Unchanged;
@@ -50,7 +50,7 @@
     (fleet, last)
 }
 
-/// The start of `i-1` in a fleet and whether it drains.
+/// The start of `i-1` in a fleet, and whether it is draining.
 fn start_and_draining(fleet: &Fleet) -> Option<(Option<u64>, bool)> {
     let upstream = fleet.get(fleet.find("i-1")?)?;
     let start = upstream.instance.start.map(|Start(ms)| ms);
@@ -59,13 +59,13 @@
 
 #[test]
 fn the_version_of_a_row_decides_and_not_the_time_of_its_start() {
-    // Either start's clock may be ahead.
+    // The clock of either start may be ahead.
     for (first, second) in [(100, 200), (200, 100)] {
         let (fleet, merged) = fleet_from_rows([row(Some(first), 1), row(Some(second), 2)]);
         let before = Some(Start(first));
         assert!(matches!(merged, MergeOutcome::Restarted { before: b, .. } if b == before));
         assert_eq!(start_and_draining(&fleet), Some((Some(second), false)));
-        // The same rows the other way round.
+        // The same rows in reverse order.
         let (fleet, merged) = fleet_from_rows([row(Some(second), 2), row(Some(first), 1)]);
         assert_eq!(merged, MergeOutcome::Unchanged);
         assert_eq!(start_and_draining(&fleet), Some((Some(second), false)));
@@ -81,7 +81,7 @@
         MergeOutcome::StaleStart
     );
     assert_eq!(start_and_draining(&fleet), Some((Some(2), false)));
-    // Nor when the later one is gone meanwhile.
+    // This also holds once the later start was removed.
     let key = fleet.find("i-1").unwrap();
     fleet.remove(key);
     assert_eq!(
@@ -89,7 +89,7 @@
         MergeOutcome::StaleStart
     );
     assert_eq!(start_and_draining(&fleet), None);
-    // The later one itself does, as after its entry lapsed.
+    // The later start itself is added again, for example after its entry expired.
     let merged = fleet.merge(row(Some(2), 5), &Meter::default());
     assert!(matches!(merged, MergeOutcome::Added(_)));
 }
@@ -114,7 +114,7 @@
         id: format!("i-{n}"),
         ..row(Some(1), 9)
     };
-    // The first are forgotten, the last are not.
+    // The first ids are evicted, the last ones are not.
     assert!(matches!(
         fleet.merge(late(0), &meter),
         MergeOutcome::Added(_)
@@ -133,7 +133,7 @@
     }
     let (fleet, _) = fleet_from_rows([draining(Some(7), 1), row(Some(8), 2)]);
     assert_eq!(start_and_draining(&fleet), Some((Some(8), false)));
-    // An older row of an earlier start says nothing of this one.
+    // An older row of an earlier start has no effect on this one.
     let (fleet, merged) = fleet_from_rows([row(Some(8), 2), draining(Some(7), 1)]);
     assert_eq!(merged, MergeOutcome::Unchanged);
     assert_eq!(start_and_draining(&fleet), Some((Some(8), false)));
@@ -174,7 +174,7 @@
     }
 }
 
-/// A gateway that knows `i-1` in its first start, and all that a start may leave behind.
+/// A gateway that knows the first start of `i-1`, with all the state that a start accumulates.
 fn gateway_with_used_upstream() -> Arc<Gateway> {
     let gateway = gateway_with(&[]);
     gateway.fleet().assume_empty_caches();
@@ -216,12 +216,12 @@
     );
     let restarted = vec![Registration::Present(row(Some(2), 2))];
     merge_from_store(&gateway, restarted, false, 2, Instant::now());
-    // It is used at once, holds nothing, and has nothing to do.
+    // The new start is used at once, with an empty cache and no load.
     assert_eq!(uncached_tokens(&gateway, &prompt()), Some(1000));
     let fleet = gateway.fleet();
     assert!(
         fleet.get(before).is_none(),
-        "the key is of the earlier start"
+        "the key belongs to the earlier start"
     );
     let upstream = fleet.get(fleet.find("i-1").unwrap()).unwrap();
     assert_eq!(
@@ -279,7 +279,7 @@
     let later = tag(&fleet);
     peers.receive(ip, status(3, later), &mut fleet, now);
     assert_eq!(tokens(&fleet), 800);
-    // Homes stay, what processes compare differs.
+    // The hash for choosing home engines stays; the view that processes compare changes.
     assert_eq!(home_hash(&fleet), home);
     assert_ne!(fleet.view(), view);
 }
@@ -310,10 +310,10 @@
     assert_eq!((changes.is_whole, changes.present.len()), (false, 1));
     assert!(
         apply_changes(&b, changes, Instant::now()),
-        "both know the same"
+        "both registries are equal"
     );
     assert_eq!(start_and_draining(&b.fleet()), Some((Some(2), false)));
-    // Heartbeats change no more than the row's version, and aren't told.
+    // Heartbeats change only the row version, and aren't sent.
     let heartbeat = vec![Registration::Present(row(Some(2), 6))];
     merge_from_store(&a, heartbeat, false, 6, Instant::now());
     assert!(a.changes_since(4).unwrap().present.is_empty());
@@ -332,7 +332,7 @@
     for gateway in [&a, &b] {
         let read = both().into_iter().map(Registration::Present).collect();
         merge_from_store(gateway, read, true, 1, now);
-        // What is missing now may come back; what can't be read isn't missing.
+        // In the grace period missing entries are kept, but unreadable ones don't count as missing.
         gateway.missing().begin_grace_period(now);
     }
     let read = vec![unreadable("i-1", 2), Registration::Present(other.clone())];
@@ -347,7 +347,7 @@
     ));
     assert_eq!(start_and_draining(&b.fleet()), None);
     assert!(b.fleet().find("i-2").is_some());
-    // A row of a version that isn't newer takes nothing out.
+    // An unreadable row with an older version removes nothing.
     let back = vec![Registration::Present(row(Some(1), 3))];
     merge_from_store(&a, back, false, 3, now);
     merge_from_store(&a, vec![unreadable("i-1", 2)], false, 4, now);
@@ -409,11 +409,11 @@
         merge_from_store(&gateway, read, true, version, Instant::now());
         assert_eq!(counted(), expected);
     }
-    // A flood of keys and versions is counted, and what is remembered is bounded.
+    // A flood of keys and versions is counted, although only a limited number is remembered.
     let flood = (0..20_000).map(|n| unreadable(&format!("bad-{n}"), 3));
     merge_from_store(&gateway, flood.collect(), false, 3, Instant::now());
     assert_eq!(counted(), 20_002);
-    // What was told of old versions is forgotten by then.
+    // The rows with old versions are forgotten by then, so this one is counted again.
     merge_from_store(
         &gateway,
         vec![unreadable("bad", 2)],
@@ -442,8 +442,8 @@
     assert_eq!(logged(5000..5003, now + Duration::from_secs(2)), 3);
 }
 
-/// Ids that differ in the bit in which their starts do once had one tag, and peers took the
-/// load of one for the other's.
+/// Upstreams whose ids and starts differed in the same bit once had the same tag, and peers took
+/// the load of one for that of the other.
 #[test]
 fn similar_ids_and_starts_have_distinct_tags() {
     let fleet = gateway_with(&[]);
--- a/crates/gateway/tests/state.rs
+++ b/crates/gateway/tests/state.rs
@@ -1,4 +1,5 @@
-//! What a gateway believes: configuration, registry and peers, with and without the store.
+//! Tests the state that a gateway has of the configuration, the registry and its peers, with and
+//! without the store, and its shutdown.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -46,15 +47,15 @@
         .await;
     assert!(
         started.elapsed() < Duration::from_secs(2),
-        "the bound that operators count on"
+        "operators rely on this bound"
     );
     let old = exchange(bed.callers, &request("GET", "/safe/", "id-2", "", "")).await;
     assert_eq!(status(&old), 404);
     let reads = bed.store.reads("op");
     bed.store.put("op", "config", &config(3, &routes()));
-    // The read that brought it is over once another has begun.
+    // Once another read has begun, the one that returned this version is over.
     wait_for("a read", || async { bed.store.reads("op") > reads }).await;
-    // A newer one is taken after it, so the older one has been seen by then.
+    // A newer version takes effect after it, so the older one has been read by then.
     let newest = json!([new[0].clone(), {"Name": "last", "Host": "a.example", "PathPrefix": "/last/",
         "RouteType": "idempotent", "TimeoutMs": 900, "TargetLatencyMs": 100, "Service": "plain"}]);
     let res = exchange(bed.callers, &request("GET", "/safe/", "id-3", "", "")).await;
@@ -97,10 +98,10 @@
         .await;
     assert!(
         started.elapsed() < Duration::from_secs(2),
-        "the bound of leaving workers"
+        "the bound for draining workers"
     );
     let before = workers[0].seen().len();
-    // A row that comes late must not call it back.
+    // A row that arrives late must not make it available again.
     bed.register("i-0", "plain", workers[0].addr, "ready", None);
     let other = bed.add_worker("i-1", "plain", None).await;
     bed.wait_answer(&request("GET", "/safe/", "probe", "", ""), 200)
@@ -108,7 +109,7 @@
     assert_eq!(workers[0].seen().len(), before);
     assert!(!other.seen().is_empty());
     assert!(running.await.unwrap().ends_with("late"));
-    // Idle as it is now, it would be chosen as often as the other.
+    // It is idle now, so it would be chosen as often as the other worker.
     for n in 0..30 {
         let id = format!("after-{n}");
         exchange(bed.callers, &request("GET", "/safe/", &id, "", "")).await;
@@ -185,22 +186,23 @@
     let (bed, workers) = start(1).await;
     bed.store.set_mode(Mode::Refuse(503));
     let calls = bed.store.calls();
-    // Long enough to count as lost: each failed read takes a quarter of a second.
-    wait_for("the store's loss", || async {
+    // Long enough for the store to count as unavailable: each failed read takes a quarter of a
+    // second.
+    wait_for("enough failed reads", || async {
         bed.store.calls() >= calls + 16
     })
     .await;
     bed.store.remove("servers", "i-0");
     let reads = bed.store.reads("servers");
     bed.store.set_mode(Mode::Serve);
-    // The first read tells that the entry is missing; the second begins after it.
+    // The first read shows that the entry is missing; the second begins after it.
     wait_for("reads of the registry", || async {
         bed.store.reads("servers") >= reads + 2
     })
     .await;
     let res = exchange(bed.callers, &request("GET", "/safe/", "id-1", "", "")).await;
     assert_eq!(status(&res), 200);
-    // It doesn't come back, and is taken as gone then.
+    // The entry doesn't come back, and the upstream is removed after the grace period.
     bed.wait_answer(&request("GET", "/safe/", "id-2", "", ""), 503)
         .await;
     assert!(!workers[0].seen().is_empty());
@@ -208,14 +210,14 @@
 
 #[tokio::test]
 async fn a_process_refused_by_the_store_follows_its_peers() {
-    // Two stores stand for one that serves one host and refuses the other.
+    // Two stores simulate one that serves one host and refuses the other.
     let (served, _workers) = start(1).await;
     let ip = address();
     let refusing = Store::start(SocketAddr::new(IpAddr::V4(ip), 7003)).unwrap();
     let cut_off = start_on(host(ip, refusing.addr), refusing);
     let name = |bed: &common::Bed| bed.host.name.clone();
     let row = |bed: &common::Bed| json!(bed.host.ip.to_string());
-    // The rows hold plain text and not JSON, as each process writes its own.
+    // Each process writes its own row, as plain text and not JSON.
     assert_ne!(name(&served), name(&cut_off));
     let _ = row(&served);
     cut_off.store.put("op", "config", &config(1, &json!([])));
@@ -225,7 +227,7 @@
             && cut_off.store.has("processes", &name(&cut_off))
     })
     .await;
-    // A third process knows both, and its datagrams make them known to each other.
+    // Datagrams make the two processes known to each other, as a third one that knows both would.
     introduce(&served.host, &cut_off.host).await;
     cut_off.store.set_mode(Mode::Refuse(503));
     served.store.put("op", "config", &config(5, &routes()));
@@ -290,7 +292,7 @@
     .await;
     bed.stop.stop();
     bed.wait_ready(503).await;
-    // New requests are served until the balancer has noticed.
+    // New requests are served until the balancer notices the stop.
     let res = exchange(bed.callers, &request("GET", "/safe/", "new", "", "")).await;
     assert_eq!(status(&res), 200);
     let res = running.await.unwrap();
@@ -315,14 +317,14 @@
     let tokens = |most: u32| format!("token-counts: 100,{most}\r\nprompt-prefix: a:50,b:50\r\n");
     bed.wait_answer(&request("POST", "/prompt/", "id-0", &tokens(5), "x"), 200)
         .await;
-    // A long answer that began before keeps the process from ending.
+    // A long answer that began before the stop keeps the process from exiting.
     let mut early = Client::connect(bed.callers).await;
     early
         .send(&request("POST", "/prompt/", "early", &tokens(5000), "x"))
         .await;
     early.read_until("piece 2").await;
     bed.stop.stop();
-    // Once a response says so, the process is past the balancer's notice.
+    // A response with this header shows that the delay for the balancer is over.
     let callers = bed.callers;
     wait_for("the drain", || async move {
         let res = exchange(callers, &request("GET", "/safe/", "short", "", "")).await;
@@ -330,12 +332,12 @@
         res.contains("connection: close")
     })
     .await;
-    // A short one is taken, and happens to hold the process until its deadline.
+    // A short request is accepted, and keeps the process running until its deadline.
     let mut held = Client::connect(callers).await;
     held.send(&request("POST", "/prompt/", "held", &tokens(5), "x"))
         .await;
     held.read_until("piece 2").await;
-    // Until the process ends before a request's own deadline does.
+    // Waits until the process would exit before the deadline of a new request.
     tokio::time::sleep(Duration::from_millis(1700)).await;
     let seen = engine.seen().len();
     let res = exchange(
@@ -388,7 +390,7 @@
     for n in 0..20 {
         bed.register(&format!("a-{n:02}"), "plain", gone, "draining", None);
     }
-    // It stands on the last page, so it is used only once all have been read.
+    // Its row is on the last page, so it is used only once all pages were read.
     let worker = bed.add_worker("z-last", "plain", None).await;
     bed.store.put("op", "config", &config(1, &routes()));
     bed.wait_answer(&request("GET", "/safe/", "id-1", "", ""), 200)
@@ -408,7 +410,7 @@
     bed.store.put("op", "config", &config(1, &routes()));
     bed.wait_answer(&request("GET", "/safe/", "id-1", "", ""), 200)
         .await;
-    // The only worker leaves and another comes, on the last page, which no feed tells.
+    // The only worker leaves and another one is added on the last page. No feed reports this.
     bed.store.remove("servers", "y-first");
     let last = bed.add_worker("z-last", "plain", None).await;
     bed.store.forget_history();
@@ -420,14 +422,14 @@
     .await;
 }
 
-/// While the first read of a table got no answer, a host once waited for it as long as for a
-/// read that the store may hold, 30.8 s, also long after the store was back.
+/// A host once waited for the answer to its first read of a table as long as for a read that the
+/// store may hold, 30.8 s, even long after the store was back.
 #[tokio::test]
 async fn a_host_that_starts_while_the_store_is_silent_finds_its_peers_soon_after() {
     let (bed, _workers) = start(1).await;
     bed.store.set_mode(Mode::SilentFor("processes"));
     let ip = address();
-    // It reads the store of the other.
+    // The second host uses the first one's store.
     let own = Store::start(SocketAddr::new(IpAddr::V4(ip), 7004)).unwrap();
     let later = start_on(host(ip, bed.store.addr), own);
     later.wait_ready(200).await;
@@ -436,7 +438,7 @@
     let rows_written = wait_for("its row", || async {
         bed.store.keys("processes").len() == 2
     });
-    // Far over the time of an answer and of a pause, far under that of a held read.
+    // Much longer than an answer and a pause take, and much shorter than a held read.
     let rows_written = tokio::time::timeout(Duration::from_secs(15), rows_written);
     rows_written
         .await
--- a/crates/gateway/tests/stop_estimates.rs
+++ b/crates/gateway/tests/stop_estimates.rs
@@ -1,5 +1,5 @@
-//! From what a stopping host takes it that an answer will end in time, and what it does when
-//! only its first attempt can.
+//! Tests how a stopping host estimates whether an answer will end in time, and what it does if only
+//! the first attempt can.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Answers that are many more than the slow ones before them.
+/// Number of quick answers; far more than the slow ones before them.
 const QUICK_ANSWERS: usize = 130;
 
-/// An answer that comes after a time.
+/// An answer that is sent after a delay.
 fn delayed_answer(time: Duration, status: u16, body: &str) -> Act {
     Act::After(time, Box::new(Act::Answer(status, body.into())))
 }
 
-/// Serves some calls of a route that take a time.
+/// Sends requests to a route whose workers answer after `time`, so that the host observes it.
 async fn serve_calls(bed: &Bed, workers: &[Worker], path: &str, time: Duration) {
     for worker in workers {
         worker.usually(delayed_answer(time, 200, "done"));
@@ -82,10 +82,10 @@
     assert_eq!(status(&exchange(bed.callers, &req).await), 200);
 }
 
-/// Seen: of 20 runs of the soak 7 cut an answer of a host that had started seconds before and
-/// had seen quick answers only. Here the moments are fixed: 24 quick answers come 3 s after the
-/// signal, and 2.2 s later one that lasts past the process's end. The request was passed on, and
-/// its connection closed without an answer.
+/// A host that had started seconds before and had observed only quick answers once accepted a
+/// request that it could not complete: 7 of 20 long load runs cut off such an answer. Here 24 quick
+/// answers come 3 s after the signal, and 2.2 s later a request whose answer would last past the
+/// process's exit. It was once forwarded, and its connection closed without an answer.
 #[tokio::test]
 async fn a_burst_of_quick_answers_does_not_shorten_the_estimate() {
     let (bed, workers) = start(1).await;
@@ -106,8 +106,8 @@
     for worker in &workers {
         worker.usually(delayed_answer(SECOND, 200, "done"));
     }
-    // It takes longer than the route's patience of 0.8 s, and comes half a second before the
-    // end.
+    // The answer takes longer than the 0.8 s after which the route retries, and ends half a second
+    // before the process exits.
     let _held = bed.stop_and_wait(&engine, SECOND * 59 / 10).await;
     let req = request("POST", "/safe/", "late", "", "x");
     let res = exchange(bed.callers, &req).await;
--- a/crates/gateway/tests/stops.rs
+++ b/crates/gateway/tests/stops.rs
@@ -1,13 +1,11 @@
-//! Whatever a stopping host takes on is ended.
+//! Tests that a stopping host completes every request that it accepts.
 //!
-//! *Seen:* with all hosts stopped in turn, clients came to hosts that were stopping, as no
-//! other took connections. One took a prompt 4 s after its stop signal; 3.4 s later the
-//! process ended, and the answer broke off in the middle.
-//!
-//! *Cause:* a stopping host refused answers of more than a fixed length and took all others,
-//! without a look at how long they would run and how much time it had. *Proof:* all of 67
-//! answers that were cut in 16 plays ended at the one moment at which a process ends what
-//! still runs, after running no longer than whole ones do.
+//! When all hosts were stopped in turn, clients connected to stopping hosts, as no other host
+//! accepted connections. One host accepted a prompt 4 s after its stop signal; 3.4 s later its
+//! process exited, and the answer was cut off. A stopping host then refused only answers beyond a
+//! fixed length, regardless of their expected duration and the time left: all of 67 answers that
+//! were cut off in 16 runs ended when the process aborted its requests, and had taken no longer
+//! than complete ones.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -18,23 +16,23 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// How long each answer takes, and the pieces in which a stream comes.
+/// Duration of each answer, and the number of pieces of a stream.
 const ANSWER_TIME: Duration = Duration::from_millis(1500);
 const PIECES: u32 = 10;
-/// Pause between two requests. Some come in the last moments before the end.
+/// Interval between two requests, short enough that some arrive just before the exit.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
-/// Requests before the stop, from which the process learns how long answers take: so many
-/// at once, as many as an engine has slots, and so often.
+/// Requests before the stop, from which the process learns how long answers take: their number per
+/// round, as many as an engine has slots, and the number of rounds.
 const CONCURRENT_REQUESTS: usize = 8;
 const WARM_UP_ROUNDS: usize = 4;
 /// Headers of a prompt.
 const TOKEN_HEADERS: &str = "token-counts: 100,300\r\nprompt-prefix: a:50,b:50\r\n";
 
-/// Sends requests on new connections until the host takes none, and collects what came
-/// of each: its id, and all that its connection brought.
+/// Sends requests on new connections until the host accepts none. Returns the id of each, and all
+/// that was received on its connection.
 async fn send_until_the_end(bed: &Bed, path: &str, headers: &str) -> Vec<(String, String)> {
     let mut sent: Vec<(String, JoinHandle<String>)> = Vec::new();
-    // Requests must not wait for each other, and none may keep the host from ending.
+    // Requests must not wait for each other, and none may keep the host from exiting.
     while let Ok(tcp) = TcpStream::connect(bed.callers).await {
         let id = format!("late-{}", sent.len());
         let req = request("POST", path, &id, headers, "x");
@@ -53,8 +51,8 @@
     all
 }
 
-/// Sends a request each 100 ms for a second and a half, in which time for an answer of the
-/// usual length runs out; gives what came of each.
+/// Sends a request every 100 ms for 1.5 s, during which the time left becomes too short for an
+/// answer of the usual length. Returns the id and the response of each.
 async fn send_for_1500_ms(bed: &Bed, path: &str, headers: &str) -> Vec<(String, String)> {
     let mut sent = Vec::new();
     for n in 0..15 {
@@ -76,7 +74,7 @@
     all
 }
 
-/// Lets a host answer some requests, so that it learns how long answers take.
+/// Sends requests to a host, so that it learns how long answers take.
 async fn warm_up(bed: &Bed, path: &str, headers: &str) {
     for round in 0..WARM_UP_ROUNDS {
         for res in bed
@@ -93,13 +91,13 @@
     }
 }
 
-/// Whether an answer is there to its last byte.
+/// Whether an answer is complete to its last byte.
 fn is_whole(res: &str) -> bool {
     res.ends_with("0\r\n\r\n") || res.ends_with("\r\n\r\ndone")
 }
 
-/// Stops a host and sends it requests until its end: each must be answered whole, or refused
-/// as not run and never have reached the upstream.
+/// Stops a host and sends it requests until its exit. Each must be answered in full, or else be
+/// refused as not run and never reach the upstream.
 async fn assert_stops_without_loss(mut bed: Bed, upstream: &Worker, path: &str, headers: &str) {
     bed.stop.stop();
     let answers = send_until_the_end(&bed, path, headers).await;
@@ -107,11 +105,11 @@
     let reached = |id: &str| reached.iter().any(|s| s.id() == id);
     let mut served = 0;
     let mut refused = 0;
-    // Connections that the host had not taken when it closed its listener are reset.
+    // Connections that the host hadn't accepted when it closed its listener are reset.
     let last = answers.iter().rposition(|(_, res)| !res.is_empty());
     let (answers, reset) = answers.split_at(last.map_or(0, |at| at + 1));
     for (id, _) in reset {
-        assert!(!reached(id), "{id} was sent on and got no answer");
+        assert!(!reached(id), "{id} was forwarded and got no answer");
     }
     for (id, res) in answers {
         match status(res) {
@@ -121,15 +119,15 @@
             }
             503 => {
                 assert!(res.contains("retry-after"), "{id}: {res}");
-                assert!(!reached(id), "{id} was called not run");
+                assert!(!reached(id), "{id} was reported as not run");
                 refused += u32::from(res.contains("\"error\":\"stopping\""));
             }
             other => panic!("{id} got {other}: {res}"),
         }
     }
-    // Refusing all would be no mend, and without a refusal the end wasn't met.
-    assert!(served > 0, "none was served in the drain");
-    assert!(refused > 0, "none was refused at the end");
+    // Refusing all requests would be wrong, and without a refusal none came just before the exit.
+    assert!(served > 0, "no request was served while draining");
+    assert!(refused > 0, "no request was refused before the exit");
     wait_for_exit(&mut bed).await;
 }
 
@@ -179,8 +177,8 @@
     bed.wait_answer(&probe, 200).await;
     warm_up(&bed, "/prompt/", TOKEN_HEADERS).await;
     let _held = bed.stop_and_wait(&generator, LAST_MOMENT).await;
-    // There is time for a prompt and its answer as they were so far, but from now on prompts
-    // are read far more slowly, and then no time is left.
+    // There is enough time for a prefill and an answer of the durations so far, but prefills become
+    // far slower now and leave no time for the answer.
     let prefill = Act::Prefilled("handle".into());
     prefill_engine.usually(Act::After(ANSWER_TIME, Box::new(prefill)));
     let answers = send_for_1500_ms(&bed, "/prompt/", TOKEN_HEADERS).await;
@@ -189,13 +187,13 @@
     for (id, res) in answers.iter().filter(|(_, res)| !is_whole(res)) {
         assert_eq!(status(res), 503, "{res}");
         assert!(res.contains("\"outcome\":\"not_run\""), "{res}");
-        assert!(!reached(&generator, id), "{id} was called not run");
+        assert!(!reached(&generator, id), "{id} was reported as not run");
         let is_stopping = res.contains("\"error\":\"stopping\"");
         refused_after_prefill += u32::from(is_stopping && reached(&prefill_engine, id));
     }
     assert!(
         refused_after_prefill > 0,
-        "none was refused after it was read"
+        "no prompt was refused after its prefill"
     );
     wait_for_exit(&mut bed).await;
 }
@@ -222,17 +220,17 @@
         all.filter(|s| s.id() == id).count()
     };
     let _held = bed.stop_and_wait(&engine, LAST_MOMENT).await;
-    // They break off when the rest, like all answers so far, would end too late.
+    // The streams break when the rest, with the usual duration, would end too late.
     let mut not_resumed = 0;
     for (id, res) in send_for_1500_ms(&bed, "/resumable/", "").await {
         match runs(&id) {
             0 => assert_eq!(status(&res), 503, "{res}"),
             1 if is_whole(&res) => {}
             1 => not_resumed += u32::from(res.contains("piece 2")),
-            _ => assert!(is_whole(&res), "{id} was sent on again, in vain"),
+            _ => assert!(is_whole(&res), "{id} was resumed, but not completed"),
         }
     }
-    assert!(not_resumed > 0, "each rest was sent on");
+    assert!(not_resumed > 0, "every broken stream was resumed");
     wait_for_exit(&mut bed).await;
 }
 
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: events as they come, resumed only where that is allowed.
+//! Tests streams: events are forwarded as they arrive, and broken streams are resumed only where
+//! that is allowed.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -41,7 +42,7 @@
 
 #[tokio::test]
 async fn a_broken_stream_is_resumed_after_its_last_complete_event() {
-    // The second run sends nothing again, then the last event, then all of them.
+    // The second run repeats no event, the last one, or all of them.
     for again in [0, 1, 3] {
         let (bed, workers) = start(2).await;
         for worker in &workers {
@@ -66,7 +67,7 @@
         assert!(!res.contains("data: ha"), "{res}");
         let all: Vec<_> = workers.iter().flat_map(|w| w.seen()).collect();
         let second = all.iter().find(|s| s.header("last-event-id").is_some());
-        let second = second.expect("the second run says where to go on");
+        let second = second.expect("the second run has the id of the last event");
         assert_eq!(second.header("last-event-id"), Some("3"));
         assert_eq!(second.header("attempt-id"), Some("id-1"));
     }
@@ -124,7 +125,7 @@
     };
     bed.wait_answer(&request("POST", "/prompt/", "id-w", &headers(1), "x"), 200)
         .await;
-    // Each part has its home; some are at the one that only reads.
+    // Each part has a home engine; for some it is the prefill engine.
     for part in 2..34 {
         let id = format!("id-{part}");
         let res = exchange(
@@ -136,7 +137,10 @@
         assert!(res.contains("piece 2"), "{res}");
     }
     let prefilled = prefill_engine.seen();
-    assert!(!prefilled.is_empty(), "no prompt was read apart");
+    assert!(
+        !prefilled.is_empty(),
+        "no prompt was prefilled on the prefill engine"
+    );
     for seen in &prefilled {
         assert_eq!(seen.header("serving-stage"), Some("prefill"));
         let id = seen.header("attempt-id").unwrap().to_owned();
@@ -166,7 +170,7 @@
     bed.store.put("op", "config", &config(2, &json!(all)));
     bed.wait_answer(&request("POST", "/slow-reader/", "id-w", "", "x"), 200)
         .await;
-    // Far more than all buffers on the way take.
+    // Far more than all buffers along the path can hold.
     workers[0].script([Act::Unframed("y".repeat(64 << 20))]);
     let mut client = Client::connect(bed.callers).await;
     client
@@ -185,7 +189,7 @@
 async fn a_stream_past_its_deadline_is_not_resumed() {
     let (bed, workers) = start(2).await;
     for n in 0..20 {
-        // The upstream has the same deadline, and breaks off with it.
+        // The upstream has the same deadline, and breaks the stream then.
         let breaks = Act::EventsThenReset(1..=2);
         for worker in &workers {
             worker.usually(Act::After(
@@ -204,6 +208,6 @@
     for n in 0..20 {
         let id = format!("id-{n}");
         let runs = seen.iter().filter(|s| s.id() == id).count();
-        assert_eq!(runs, 1, "{id} was sent on with no time left");
+        assert_eq!(runs, 1, "{id} was resumed with no time left");
     }
 }
--- a/crates/gateway/tests/tenants.rs
+++ b/crates/gateway/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! The lookup of keys, against a plain search.
+//! Tests the lookup of tenants by key, compared to a linear search, and the admission of requests.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod fixtures;
@@ -71,7 +71,7 @@
     assert_eq!(first.admit(closed, Some(key(9))), Err(Denied::UnknownKey));
     let caller = first.admit(closed, Some(key(1))).unwrap();
     assert_eq!(first.tenant(caller).unwrap().priority, Some(4));
-    // An open route takes all, and still tells whose a known key is.
+    // An open route allows all requests, and still identifies the tenant of a known key.
     assert_eq!(first.admit(open, None), Ok(Caller::Anonymous));
     assert_eq!(first.admit(open, Some(key(9))), Ok(Caller::Anonymous));
     assert_eq!(first.admit(open, Some(key(1))), Ok(caller));
--- a/crates/gateway/tests/tree.rs
+++ b/crates/gateway/tests/tree.rs
@@ -1,9 +1,9 @@
-//! Three hundred processes that tell each other of their load through trees, one for
-//! each availability zone, without a network.
+//! Tests 300 processes that exchange their load through trees, one for each availability zone,
+//! without a network.
 //!
-//! The pattern is the large fleet: six zones, each upstream used by every host. What
-//! each hears must be the sum of what all others do, soon, also when hosts are lost;
-//! and what one host sends must not grow with their number.
+//! This models the largest fleet: six zones, and each upstream is used by every host. Each process
+//! must soon know the sum of the load of all others, even when hosts are lost, and what one process
+//! sends must not grow with their number.
 
 #[expect(dead_code, reason = "each test file uses some of them")]
 mod fixtures;
@@ -18,15 +18,15 @@
 
 const ZONES: u16 = 6;
 const UPSTREAMS: u16 = 60;
-/// Time between two datagrams over a link.
+/// Interval between two datagrams over a link.
 const TICK: Duration = Duration::from_millis(25);
-/// Ticks in which a word reaches everybody: seven steps, and as many again for a loss.
+/// Ticks in which a status reaches all processes: seven hops, and as many again in case of loss.
 const PROPAGATION_TICKS: u32 = 14;
-/// Ticks until one that fell silent is replaced: 0.6 s without a word, as much again
-/// if the next is silent too, and the time for a word.
+/// Ticks until a silent process is replaced: 0.6 s without a datagram, as much again if the next
+/// one is silent too, and the propagation of a status.
 const REPLACEMENT_TICKS: u32 = 48 + PROPAGATION_TICKS;
 
-/// One process, as far as its peers are concerned.
+/// The state of one process that concerns its peers.
 struct Process {
     location: Location,
     peers: Peers,
@@ -42,7 +42,7 @@
     now: Instant,
     number: u64,
     rng: fastrand::Rng,
-    /// Share of datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     loss_rate: f64,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Gives each process some load of its own, a few upstreams each.
+    /// Gives each process random load of its own on up to four upstreams.
     fn randomize_loads(&mut self) {
         for process in &mut self.processes {
             let tags: Vec<u32> = process.fleet.iter().map(|(_, u)| u.tag()).collect();
@@ -115,7 +115,7 @@
         (0..count).for_each(|_| self.tick());
     }
 
-    /// Processes whose view of the others' load isn't the sum of it.
+    /// Number of live processes that don't know the sum of the load of all others.
     fn count_wrong_views(&self) -> usize {
         let live: Vec<&Process> = self.processes.iter().filter(|p| p.is_alive).collect();
         let mut sums = vec![0u32; UPSTREAMS.into()];
@@ -228,7 +228,7 @@
         let mut sent: Vec<usize> = system.processes.iter().map(|p| p.datagrams).collect();
         sent.sort_unstable();
         let most = sent[sent.len() - 1];
-        // One up, or five to other roots, and four down, in each of 40 ticks.
+        // In each of 40 ticks: one to the parent or five to other roots, and four to children.
         assert!(most <= 9 * 40, "{most}");
         busiest.push(most);
     }
@@ -251,7 +251,7 @@
     let mut system = System::new(300);
     system.randomize_loads();
     system.ticks(PROPAGATION_TICKS);
-    // The first ones of each zone are lost, on which most others depend.
+    // The first processes of each zone are killed, on which most others depend.
     for n in 0..150 {
         system.processes[n].is_alive = false;
     }
@@ -261,7 +261,7 @@
     let alive = system.processes.iter().filter(|p| p.is_alive);
     let first_ranked = alive.filter(|p| p.peers.rank(p.location, now) == 0);
     assert_eq!(first_ranked.count(), 1);
-    // They come back, knowing only what the store says.
+    // They restart and know only what is in the store.
     for n in 0..150u16 {
         system.processes[usize::from(n)] = Process::new(n, 300);
     }
@@ -272,20 +272,20 @@
     assert_eq!(system.count_wrong_views(), 0);
 }
 
-/// Longest time for which one that didn't answer isn't tried again, in milliseconds.
+/// Maximum time for which a process that didn't answer is avoided, in milliseconds.
 const MAX_AVOIDANCE_MS: u32 = 8000;
 
 #[test]
 fn an_isolated_process_uses_only_its_share_of_the_budget() {
     let mut system = System::new(103);
     system.ticks(PROPAGATION_TICKS);
-    // It is cut off from all others.
+    // One process is isolated from all others.
     let now = system.now + Duration::from_secs(60);
     let isolated = &mut system.processes[5];
     isolated.peers.expire(&mut isolated.fleet, now);
     assert_eq!(isolated.peers.live(now).count(), 0);
     assert_eq!(isolated.peers.process_count(now), 102);
-    // One that knows nothing of its peers yet takes less still.
+    // A process that doesn't know its peers yet uses even less.
     assert!(Peers::default().process_count(now) >= 1000);
 }
 
@@ -294,8 +294,8 @@
     let mut system = System::new(120);
     system.randomize_loads();
     system.ticks(PROPAGATION_TICKS);
-    // The last of its zone, to which nobody reports, and one in the middle. They are
-    // away for longer than their peers go on telling them.
+    // A process at the end of its zone, which has no children, and one in the middle. They are away
+    // until their peers no longer send to them.
     for n in [119, 20] {
         system.processes[n].is_alive = false;
     }
@@ -307,13 +307,13 @@
         system.processes[at].peers = Peers::default();
         system.processes[at].own_loads = own_loads;
     }
-    // Those that it usually reports to ask each two seconds.
+    // The usual parent of each contacts it every two seconds.
     system.ticks(80 + REPLACEMENT_TICKS);
     let now = system.now;
     for n in [119, 20] {
         assert!(
             system.processes[n].peers.live(now).count() > 0,
-            "{n} hears nobody"
+            "{n} receives nothing"
         );
     }
     assert_eq!(system.count_wrong_views(), 0);
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage by gateways in this process, against the stand-ins.
+//! Tests usage reports of gateways in this process, with simulated services.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -21,7 +21,7 @@
     config
 }
 
-/// So many gateways before one store, one platform and two workers.
+/// Gateways with one store, one platform and two workers.
 struct TestFleet {
     beds: Vec<Bed>,
     store: Store,
@@ -75,7 +75,7 @@
 
     async fn add(&mut self) {
         let host = self.host(address());
-        // A bed holds a store of its own, which these don't use.
+        // A bed owns a store, but these gateways use the common one.
         let unused = Store::start(new_addr(7003)).unwrap();
         let bed = start_on(host, unused);
         bed.wait_ready(200).await;
@@ -83,7 +83,7 @@
         self.beds.push(bed);
     }
 
-    /// Sends requests of a tenant to a gateway, one after the other.
+    /// Sends requests of a tenant to a gateway sequentially.
     async fn send(&self, gateway: usize, tenant: &str, count: usize) {
         for n in 0..count {
             let key = format!("key: key-{tenant}\r\n");
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts of all windows that were reported, by tenant; each window once.
+    /// Number of reported requests by tenant. A window that was reported repeatedly counts once.
     fn reported(&self) -> BTreeMap<String, u64> {
         let mut windows: BTreeMap<u64, CloudCall> = BTreeMap::new();
         for call in self.cloud.calls() {
@@ -125,7 +125,7 @@
             .map(|(t, n)| ((*t).to_owned(), *n))
             .collect();
         wait_for("the reports", || async { self.reported() == expected }).await;
-        // Nothing more comes of the same requests.
+        // The same requests aren't reported again.
         let windows = self.windows();
         wait_for("two more windows", || async {
             self.windows() >= windows + 2
@@ -142,7 +142,8 @@
         all.len()
     }
 
-    /// Tokens never fall, two holders never share one, and holders don't alternate.
+    /// Asserts that fencing tokens never decrease, that no two holders share one, and that the
+    /// calls of two holders are at least the minimum time apart.
     fn assert_fenced(&self) {
         let calls = self.cloud.calls();
         for pair in calls.windows(2) {
@@ -164,7 +165,7 @@
     fleet.send(0, "one", 5).await;
     fleet.send(1, "one", 2).await;
     fleet.send(2, "two", 4).await;
-    // Not run: no report tells of them.
+    // Requests that didn't run aren't reported.
     let refused = request("GET", "/safe/", "no", "key: key-none\r\n", "");
     assert_eq!(
         status(&exchange(fleet.beds[0].callers, &refused).await),
@@ -191,7 +192,7 @@
     let fleet = start(2).await;
     fleet.cloud.set_mode(CloudMode::TakeSilently);
     fleet.send(0, "one", 3).await;
-    wait_for("two sends of it", || async {
+    wait_for("two calls with the report", || async {
         let calls = fleet.cloud.calls();
         calls.len() >= 2 && calls[0].body["WindowId"] == calls[1].body["WindowId"]
     })
@@ -218,11 +219,14 @@
 async fn a_stopping_host_hands_over_its_requests() {
     let mut fleet = start(3).await;
     fleet.beds.sort_by_key(|bed| bed.host.ip);
-    // The last in order is no collector.
+    // The last process by address is not a collector.
     fleet.send(2, "one", 6).await;
     let bed = fleet.beds.remove(2);
     bed.stop.stop();
-    wait_for("its end", || async { bed.task.is_finished() }).await;
+    wait_for("the end of its process", || async {
+        bed.task.is_finished()
+    })
+    .await;
     fleet.send(0, "two", 1).await;
     fleet.wait_reported(&[("one", 6), ("two", 1)]).await;
 }
@@ -230,7 +234,7 @@
 #[tokio::test]
 async fn another_host_takes_over_when_the_holder_is_lost() {
     let mut fleet = start(2).await;
-    // The first in order of addresses is the holder; its process is lost with all its tasks.
+    // The process with the lowest address is the holder; it is ended with all its tasks.
     let first = fleet.beds.iter().map(|bed| bed.host.ip).min().unwrap();
     let IpAddr::V4(first) = first else {
         panic!("tests have IPv4 addresses");
@@ -259,7 +263,7 @@
         assert_eq!(status(&exchange(callers, &req).await), 200);
     }
     fleet.send(0, "two", 3).await;
-    // It has been asked for them by then.
+    // The other collector has polled it by then.
     tokio::time::sleep(Duration::from_millis(600)).await;
     runtime.shutdown_background();
     fleet.wait_reported(&[("one", 2), ("two", 3)]).await;
--- a/crates/gateway/tests/usage_decisions.rs
+++ b/crates/gateway/tests/usage_decisions.rs
@@ -1,5 +1,5 @@
-//! Who reports what, without a network: any order of holders, losses and late writes, of
-//! lost and doubled datagrams, and clocks that jump.
+//! Tests the decisions on usage reports without a network: any order of holders, losses and late
+//! writes, lost and duplicated datagrams, and clocks that jump.
 
 use gateway::duty::usage::clock::{FleetClock, ROUND_EVERY};
 use gateway::duty::usage::holder::{Action, Holder};
@@ -24,7 +24,7 @@
 const WINDOW_MS: u64 = 5000;
 const HOLDERS: usize = 3;
 
-/// The rows of the store, and writes that are still on their way.
+/// The rows of the store, and writes that haven't reached it yet.
 #[derive(Debug, Default)]
 struct Rows {
     lease: Option<Lease>,
@@ -42,7 +42,7 @@
 }
 
 impl Rows {
-    /// Carries a write out, if the lease's row still has the version.
+    /// Executes a write if the row of the lease still has the required version.
     fn write(&mut self, write: &Write) -> bool {
         if write.version != self.version {
             return false;
@@ -66,13 +66,13 @@
     report: UsageReport,
 }
 
-/// What one step of a holder meets.
+/// One step of a holder, and what happens in it.
 #[derive(Debug, Clone, Copy)]
 struct Step {
     holder: usize,
-    /// Time that passes before it.
+    /// Time that passes before the step.
     pause_ms: u64,
-    /// Whether the holder's process starts anew before it.
+    /// Whether the holder's process restarts before the step.
     restarts: bool,
     outcome: CallOutcome,
 }
@@ -80,17 +80,17 @@
 /// What happens to the call of a step.
 #[derive(Debug, Clone, Copy)]
 enum CallOutcome {
-    /// It is done and answered.
+    /// The call is executed and answered.
     Answered,
-    /// It is done, and its answer is lost.
+    /// The call is executed, and its answer is lost.
     AnswerLost,
-    /// It isn't done.
+    /// The call isn't executed.
     Lost,
-    /// It is done later, if its condition still holds.
+    /// The call is executed later, if its condition still holds then.
     Late,
 }
 
-/// Holders that each count differently, as those do that were cut off from some hosts.
+/// Holders that each have different counts, as if each couldn't reach some hosts.
 struct Simulation {
     started: Instant,
     now_ms: u64,
@@ -199,7 +199,7 @@
     Holder::new(format!("10.0.0.{n}"), HOLDER_GAP)
 }
 
-/// A report that differs by who makes it, and when.
+/// A report that differs by holder and time.
 fn counted_by(holder: usize, at_ms: u64, window: u64) -> UsageReport {
     let count = TenantCount {
         tenant: "one".into(),
@@ -252,7 +252,7 @@
             Ok(())
         })
         .unwrap();
-    // Else the cases above show nothing.
+    // Otherwise the cases above prove nothing.
     assert!(reported.get() > 1000, "{} windows", reported.get());
 }
 
@@ -260,14 +260,14 @@
     IpAddr::V4(Ipv4Addr::new(10, 0, 0, n))
 }
 
-/// What happens to one question of the collector.
+/// What happens to one poll by the collector.
 #[derive(Debug, Clone, Copy)]
 enum PollOutcome {
     Answered,
     Lost,
-    /// Its answer comes twice.
+    /// The answer arrives twice.
     Twice,
-    /// Its answer comes after that of the next question.
+    /// The answer arrives after that of the next poll.
     Late,
 }
 
@@ -279,7 +279,7 @@
         Just(PollOutcome::Twice),
         Just(PollOutcome::Late)
     ];
-    // Requests of each of three processes between the questions, and what these meet.
+    // Number of requests of each of three processes between polls, and the outcomes of the polls.
     let rounds = vec(((0u64..9, 0u64..1500, 0u64..3), vec(outcome, 3)), 1..24);
     runner(200)
         .run(&rounds, |rounds| {
@@ -391,8 +391,8 @@
     assert_eq!(ledger.count(started, until).silent, 0);
 }
 
-/// True time of a clock of which some hosts' times of day jump, after each of so many
-/// rounds, as errors in milliseconds. `jump` gives the error of a host in a round.
+/// Errors of the fleet clock in milliseconds after each round, where `jump` returns the error of
+/// the wall clock of a host in a round.
 fn clock_errors(rounds: u64, hosts: u64, jump: impl Fn(u64, u64) -> i64) -> Vec<i64> {
     let base = Instant::now();
     let mut clock = FleetClock::new(base);
@@ -412,14 +412,15 @@
 
 #[test]
 fn the_fleet_clock_ignores_jumps_on_a_third_of_the_hosts() {
-    // Each host is a few milliseconds off besides.
+    // Each host's clock is also off by a few milliseconds.
     let small = |host: u64| host as i64 % 7 - 3;
     let third = clock_errors(40, 21, |host, round| match round >= 10 && host < 7 {
         true => 2000,
         false => small(host),
     });
     assert!(third.iter().all(|e| e.abs() <= 3), "{third:?}");
-    // Also if the first rounds see it, and on two thirds of all hosts for a while.
+    // The same holds if the jump is there from the first round on, or if two thirds of the hosts
+    // jump for a while.
     let from_start = clock_errors(20, 21, |host, _| if host < 7 { -2000 } else { small(host) });
     assert!(from_start.iter().all(|e| e.abs() <= 3), "{from_start:?}");
     let two_thirds = clock_errors(40, 21, |host, round| {
