--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage by gateways in this process, against the stand-ins.
+//! Tests usage reports of gateways in this process, with simulated services.
 
 #[expect(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -21,30 +21,32 @@
     config
 }
 
-/// So many gateways before one store, one platform and two workers.
-struct Fleet {
+/// Gateways with one store, one platform and two workers.
+struct TestFleet {
     beds: Vec<TestGateway>,
     store: Store,
     cloud: Cloud,
     _workers: Vec<Worker>,
 }
 
-fn at(port: u16) -> SocketAddr {
+fn new_addr(port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(address()), port)
 }
 
-async fn start(gateways: usize) -> Fleet {
-    let store = Store::start(at(7003)).unwrap();
-    let cloud = Cloud::start(at(7005)).unwrap();
+async fn start(gateways: usize) -> TestFleet {
+    let store = Store::start(new_addr(7003)).unwrap();
+    let cloud = Cloud::start(new_addr(7005)).unwrap();
     let mut workers = Vec::new();
     for n in 0..2 {
-        let worker = Worker::start(at(7100), &format!("i-{n}")).await.unwrap();
+        let worker = Worker::start(new_addr(7100), &format!("i-{n}"))
+            .await
+            .unwrap();
         let row = standin::fixture::worker_row("plain", worker.addr, "ready", None);
         store.put("servers", &format!("i-{n}"), &row);
         workers.push(worker);
     }
     store.put("op", "config", &configuration(1));
-    let mut fleet = Fleet {
+    let mut fleet = TestFleet {
         beds: Vec::new(),
         store,
         cloud,
@@ -56,7 +58,7 @@
     fleet
 }
 
-impl Fleet {
+impl TestFleet {
     fn host(&self, ip: std::net::Ipv4Addr) -> HostSettings {
         let mut host = host(ip, self.store.addr);
         host.order_gap = Duration::from_millis(500);
@@ -73,15 +75,15 @@
 
     async fn add(&mut self) {
         let host = self.host(address());
-        // A bed holds a store of its own, which these don't use.
-        let unused = Store::start(at(7003)).unwrap();
+        // A bed owns a store, but these gateways use the common one.
+        let unused = Store::start(new_addr(7003)).unwrap();
         let bed = start_on(host, unused);
         bed.wait_ready(200).await;
         bed.wait_for_retry_budget(&self.store).await;
         self.beds.push(bed);
     }
 
-    /// Sends requests of a tenant to a gateway, one after the other.
+    /// Sends requests of a tenant to a gateway sequentially.
     async fn send(&self, gateway: usize, tenant: &str, count: usize) {
         for n in 0..count {
             let key = format!("key: key-{tenant}\r\n");
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Counts of all windows that were reported, by tenant; each window once.
+    /// Number of reported requests by tenant. A window that was reported repeatedly counts once.
     fn reported(&self) -> BTreeMap<String, u64> {
         let mut windows: BTreeMap<u64, CloudCall> = BTreeMap::new();
         for call in self.cloud.calls() {
@@ -123,7 +125,7 @@
             .map(|(t, n)| ((*t).to_owned(), *n))
             .collect();
         wait_for("the reports", || async { self.reported() == expected }).await;
-        // Nothing more comes of the same requests.
+        // The same requests aren't reported again.
         let windows = self.windows();
         wait_for("two more windows", || async {
             self.windows() >= windows + 2
@@ -140,7 +142,8 @@
         all.len()
     }
 
-    /// Tokens never fall, two holders never share one, and holders don't alternate.
+    /// Asserts that fencing tokens never decrease, that no two holders share one, and that the
+    /// calls of two holders are at least the minimum time apart.
     fn assert_fenced(&self) {
         let calls = self.cloud.calls();
         for pair in calls.windows(2) {
@@ -162,7 +165,7 @@
     fleet.send(0, "one", 5).await;
     fleet.send(1, "one", 2).await;
     fleet.send(2, "two", 4).await;
-    // Not run: no report tells of them.
+    // Requests that didn't run aren't reported.
     let refused = request("GET", "/safe/", "no", "key: key-none\r\n", "");
     assert_eq!(
         status(&exchange(fleet.beds[0].callers, &refused).await),
@@ -172,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_was_sent_twice_counts_once() {
+async fn a_retried_request_counts_once() {
     let fleet = start(1).await;
     for worker in &fleet._workers {
         worker.script([Action::Answer(500, "failed".into())]);
@@ -185,11 +188,11 @@
 }
 
 #[tokio::test]
-async fn a_report_whose_answer_was_lost_is_sent_again_as_it_was() {
+async fn a_report_whose_answer_was_lost_is_resent_unchanged() {
     let fleet = start(2).await;
     fleet.cloud.set_mode(CloudMode::TakeSilently);
     fleet.send(0, "one", 3).await;
-    wait_for("two sends of it", || async {
+    wait_for("two calls with the report", || async {
         let calls = fleet.cloud.calls();
         calls.len() >= 2 && calls[0].body["WindowId"] == calls[1].body["WindowId"]
     })
@@ -199,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn reports_wait_for_a_platform_that_refuses_and_a_store_that_is_away() {
+async fn reports_wait_while_the_platform_refuses_and_the_store_is_unavailable() {
     let fleet = start(2).await;
     fleet.cloud.set_mode(CloudMode::Refuse(429));
     fleet.store.set_mode(StoreMode::Refuse(503));
@@ -213,22 +216,25 @@
 }
 
 #[tokio::test]
-async fn a_host_that_stops_hands_its_requests_on() {
+async fn a_stopping_host_hands_over_its_requests() {
     let mut fleet = start(3).await;
     fleet.beds.sort_by_key(|bed| bed.host.ip);
-    // The last in order is no collector.
+    // The last process by address is not a collector.
     fleet.send(2, "one", 6).await;
     let bed = fleet.beds.remove(2);
     bed.stop.stop();
-    wait_for("its end", || async { bed.task.is_finished() }).await;
+    wait_for("the end of its process", || async {
+        bed.task.is_finished()
+    })
+    .await;
     fleet.send(0, "two", 1).await;
     fleet.wait_reported(&[("one", 6), ("two", 1)]).await;
 }
 
 #[tokio::test]
-async fn another_host_goes_on_when_the_holder_is_lost() {
+async fn another_host_takes_over_when_the_holder_is_lost() {
     let mut fleet = start(2).await;
-    // The first in order of addresses is the holder; its process is lost with all its tasks.
+    // The process with the lowest address is the holder; it is ended with all its tasks.
     let first = fleet.beds.iter().map(|bed| bed.host.ip).min().unwrap();
     let IpAddr::V4(first) = first else {
         panic!("tests have IPv4 addresses");
@@ -236,30 +242,30 @@
     let ip = std::net::Ipv4Addr::from(u32::from(first) - (1 << 16));
     let host = fleet.host(ip);
     let (name, callers) = (host.name.clone(), host.client_addr.unwrap());
-    let process = tokio::runtime::Builder::new_multi_thread()
+    let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
         .unwrap();
-    process.spawn(gateway::run(
+    runtime.spawn(gateway::run(
         std::path::PathBuf::from("/nonexistent/settings"),
         host,
         net::Stop::default(),
     ));
-    let by = |fleet: &Fleet, name: &str| {
+    let report_count = |fleet: &TestFleet, name: &str| {
         let calls = fleet.cloud.calls();
         calls.iter().filter(|c| c.holder == name).count()
     };
-    wait_for("its reports", || async { by(&fleet, &name) > 1 }).await;
+    wait_for("its reports", || async { report_count(&fleet, &name) > 1 }).await;
     fleet.beds.sort_by_key(|bed| bed.host.ip);
     for n in 0..2 {
         let req = request("GET", "/safe/", &format!("own-{n}"), "key: key-one\r\n", "");
         assert_eq!(status(&exchange(callers, &req).await), 200);
     }
     fleet.send(0, "two", 3).await;
-    // It has been asked for them by then.
+    // The other collector has polled it by then.
     tokio::time::sleep(Duration::from_millis(600)).await;
-    process.shutdown_background();
+    runtime.shutdown_background();
     fleet.wait_reported(&[("one", 2), ("two", 3)]).await;
     assert!(fleet.cloud.calls().last().unwrap().holder != name);
 }
