--- a/crates/arbutusquay/tests/crashing.rs
+++ b/crates/arbutusquay/tests/crashing.rs
@@ -3,9 +3,9 @@
 //! The same cause as with gateways: an entry counted tries of one request, and a caller that
 //! came again, to whichever entry, began at nothing.
 
-use bench::bed::{Bed, bed, is_whole, lookup, reply, until};
-use bench::caller::{Got, Sent};
-use bench::mix::{Ask, What};
+use bench::client::{Call, CallResult};
+use bench::mix::{ClientRequest, RequestKind};
+use bench::testbed::{Testbed, is_complete, lookup, reply, testbed, wait_until};
 use fakes::Faults;
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 /// Sends that are allowed from then on, by all entries together.
 const MORE: u32 = 3;
 
-async fn crashing_bed() -> Bed {
-    let bed = bed(BINARY, 4).await;
+async fn crashing_bed() -> Testbed {
+    let bed = testbed(BINARY, 4).await;
     let faults = Faults {
         crash_about: DEADLY.into(),
         ..Faults::default()
@@ -27,15 +27,15 @@
     for engine in bed.engines() {
         fakes::serve::Standin::gate(&*engine).set(faults.clone());
     }
-    for plain in bed.plains() {
+    for plain in bed.plain_services() {
         fakes::serve::Standin::gate(&*plain).set(faults.clone());
     }
     bed
 }
 
-fn crashes(bed: &Bed) -> u32 {
+fn crashes(bed: &Testbed) -> u32 {
     let engines = bed.engines();
-    let plains = bed.plains();
+    let plains = bed.plain_services();
     let of_engines = engines
         .iter()
         .map(|e| fakes::serve::Standin::gate(&**e).crash_count());
@@ -46,10 +46,10 @@
 }
 
 /// A call that may run once, without a key of its own.
-fn post() -> Ask {
-    Ask {
+fn post() -> ClientRequest {
+    ClientRequest {
         class: "notice",
-        what: What::Plain {
+        kind: RequestKind::Plain {
             method: "POST",
             path: "/notices".into(),
             body: DEADLY.into(),
@@ -59,47 +59,47 @@
     }
 }
 
-fn reason(sent: &Sent) -> &str {
-    match &sent.got {
-        Got::Refused { reason, .. } => reason,
+fn reason(sent: &Call) -> &str {
+    match &sent.result {
+        CallResult::Refused { reason, .. } => reason,
         _ => "",
     }
 }
 
 /// Sends it by turns to both entries until three upstreams have ended.
-async fn crash_three(bed: &Bed, ask: &Ask) {
+async fn crash_three(bed: &Testbed, ask: &ClientRequest) {
     let mut turn = 0;
     while crashes(bed) < 3 {
-        bed.caller(turn % 2).send(ask.clone()).await;
+        bed.client(turn % 2).send(ask.clone()).await;
         turn += 1;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn is_stopped(ask: Ask, other: Ask) {
+async fn is_stopped(ask: ClientRequest, other: ClientRequest) {
     let mut bed = crashing_bed().await;
     crash_three(&bed, &ask).await;
     tokio::time::sleep(SETTLED).await;
     let before = crashes(&bed);
     for turn in 0..16 {
-        bed.caller(turn % 2).send(ask.clone()).await;
+        bed.client(turn % 2).send(ask.clone()).await;
         let more = crashes(&bed) - before;
         assert!(more <= MORE, "{more} more upstreams ended");
     }
     // It is tried once more; once all know what came of that it is for good.
     for turn in 0..4 {
         tokio::time::sleep(SETTLED / 2).await;
-        bed.caller(turn % 2).send(ask.clone()).await;
+        bed.client(turn % 2).send(ask.clone()).await;
     }
-    let sent = bed.caller(0).send(ask.clone()).await;
-    assert_eq!(reason(&sent), "crashes-upstreams", "{:?}", sent.got);
-    assert!(is_whole(&bed.caller(0).send(other).await));
+    let sent = bed.client(0).send(ask.clone()).await;
+    assert_eq!(reason(&sent), "crashes-upstreams", "{:?}", sent.result);
+    assert!(is_complete(&bed.client(0).send(other).await));
     // An entry that starts later knows it too.
     bed.site.entries[0].process.kill().await.unwrap();
     bed.site.restart_entry(0).unwrap();
-    bed.site.ready().await.unwrap();
+    bed.site.wait_ready().await.unwrap();
     tokio::time::sleep(SETTLED).await;
-    bed.caller(0).send(ask.clone()).await;
+    bed.client(0).send(ask.clone()).await;
     let more = crashes(&bed) - before;
     assert!(more <= MORE, "{more} more upstreams ended after a restart");
 }
@@ -117,7 +117,7 @@
 /// Broken streams of engines that go on are no crash.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_that_engines_break_are_not_held_against_the_request() {
-    let bed = bed(BINARY, 3).await;
+    let bed = testbed(BINARY, 3).await;
     for _ in 0..4 {
         for engine in bed.engines() {
             let faults = Faults {
@@ -126,12 +126,12 @@
             };
             fakes::serve::Standin::gate(&*engine).set(faults);
         }
-        bed.caller(0).send(reply("same", 40)).await;
+        bed.client(0).send(reply("same", 40)).await;
     }
     for engine in bed.engines() {
         fakes::serve::Standin::gate(&*engine).set(Faults::default());
     }
-    until("ready agents", || true).await;
-    let sent = bed.caller(0).send(reply("same", 40)).await;
-    assert!(is_whole(&sent), "{:?}", sent.got);
+    wait_until("ready agents", || true).await;
+    let sent = bed.client(0).send(reply("same", 40)).await;
+    assert!(is_complete(&sent), "{:?}", sent.result);
 }
--- a/crates/arbutusquay/tests/explain.rs
+++ b/crates/arbutusquay/tests/explain.rs
@@ -1,6 +1,6 @@
 //! From a failed request's id to its cause, by the logs of a real process.
 
-use bench::procs::{Proc, command};
+use bench::procs::{Proc, run_command};
 use standin::fixture::{
     CONFIG, WORKERS, config, reporting, request, routes, settings, tenant, with_tenants, worker,
     worker_since,
@@ -132,7 +132,7 @@
 }
 
 async fn run(binary: &Path, id: &str, log: &Path) -> String {
-    let out = command(binary, &["explain", id, &log.display().to_string()])
+    let out = run_command(binary, &["explain", id, &log.display().to_string()])
         .await
         .unwrap();
     out.stdout
@@ -338,11 +338,11 @@
     let file = std::env::temp_dir().join(format!("explain-none-{}", std::process::id()));
     std::fs::write(&file, "not a line\n{\"ts_ms\":1}\n").unwrap();
     let path = file.display().to_string();
-    let out = command(&binary, &["explain", "nobody", &path])
+    let out = run_command(&binary, &["explain", "nobody", &path])
         .await
         .unwrap();
     assert_eq!(out.code, Some(1));
-    let out = command(&binary, &["explain", "nobody", "/nonexistent"])
+    let out = run_command(&binary, &["explain", "nobody", "/nonexistent"])
         .await
         .unwrap();
     assert_eq!(out.code, Some(2));
--- a/crates/arbutusquay/tests/lifecycle.rs
+++ b/crates/arbutusquay/tests/lifecycle.rs
@@ -1,10 +1,13 @@
 //! Starting, stopping and failing: drains cut nothing off, kills are survived.
 
-use bench::bed::{BOUND, Bed, LOOK, bed, bed_with, is_whole, lookup, notice, reply, until};
-use bench::caller::Got;
-use bench::check::LEAVING_BOUND_MS;
-use bench::mix::Ask;
+use bench::check::MAX_LEAVING_DELAY_MS;
+use bench::client::CallResult;
+use bench::mix::ClientRequest;
 use bench::procs::{Proc, Signal};
+use bench::testbed::{
+    POLL_INTERVAL, Testbed, WAIT_TIMEOUT, is_complete, lookup, notice, reply, testbed,
+    testbed_with, wait_until,
+};
 use fakes::Faults;
 use fakes::clock::now_ms;
 use fakes::serve::Standin;
@@ -20,16 +23,16 @@
 const LONG: u32 = 600;
 
 /// Starts long streams through an entry and waits until all run.
-async fn streams(bed: &Bed, entry: usize, count: usize) -> Vec<tokio::task::JoinHandle<bool>> {
+async fn streams(bed: &Testbed, entry: usize, count: usize) -> Vec<tokio::task::JoinHandle<bool>> {
     let tasks: Vec<_> = (0..count)
         .map(|n| {
-            let caller = bed.caller(entry);
+            let caller = bed.client(entry);
             // Each of another tenant, so that no tenant's limit holds one back.
-            let ask = Ask {
+            let ask = ClientRequest {
                 tenant: format!("t{n}"),
                 ..reply(&format!("long {n}"), LONG)
             };
-            tokio::spawn(async move { is_whole(&caller.send(ask).await) })
+            tokio::spawn(async move { is_complete(&caller.send(ask).await) })
         })
         .collect();
     let open = || {
@@ -39,7 +42,7 @@
             .sum::<usize>()
             == count
     };
-    until("streams", open).await;
+    wait_until("streams", open).await;
     tasks
 }
 
@@ -51,16 +54,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_agent_takes_nothing_new_ends_its_streams_and_exits() {
-    let mut bed = bed(BINARY, 2).await;
+    let mut bed = testbed(BINARY, 2).await;
     let running = streams(&bed, 0, 8).await;
     bed.site.workers[0].agent.signal(Signal::Term);
     let before = bed.engine(0).history().runs.len();
-    let admin = bench::deploy::admin_of(bed.site.workers[0].upstream.agent);
+    let admin = bench::deploy::admin_addr(bed.site.workers[0].upstream.agent);
     health_fails(admin).await;
     let late = bed.engine(0).history().runs.len();
     for n in 0..10 {
-        assert!(is_whole(
-            &bed.caller(1).send(reply(&format!("new {n}"), 3)).await
+        assert!(is_complete(
+            &bed.client(1).send(reply(&format!("new {n}"), 3)).await
         ));
     }
     assert_eq!(
@@ -70,7 +73,7 @@
     );
     assert!(late >= before);
     all_whole(running).await;
-    assert!(bed.site.workers[0].agent.ended().await.unwrap().success());
+    assert!(bed.site.workers[0].agent.wait().await.unwrap().success());
 }
 
 async fn health_fails(admin: std::net::SocketAddr) {
@@ -80,50 +83,50 @@
             let req = hyper::Request::builder().uri("/health").header("host", "t");
             let req = req.body(net::empty()).unwrap();
             match pool.call(req, 1024, Duration::from_secs(5)).await {
-                Ok((status, _)) if status.is_success() => tokio::time::sleep(LOOK).await,
+                Ok((status, _)) if status.is_success() => tokio::time::sleep(POLL_INTERVAL).await,
                 _ => return,
             }
         }
     };
-    tokio::time::timeout(BOUND, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
         .expect("health says no");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_whose_host_leaves_drains_by_itself() {
-    let mut bed = bed(BINARY, 2).await;
+    let mut bed = testbed(BINARY, 2).await;
     let running = streams(&bed, 0, 6).await;
     let host = bed.site.workers[1].upstream.host.clone();
     bed.site.hosts.set(&host, HostState::Leaving);
     all_whole(running).await;
-    assert!(bed.site.workers[1].agent.ended().await.unwrap().success());
+    assert!(bed.site.workers[1].agent.wait().await.unwrap().success());
     let before = bed.engine(1).history().runs.len();
-    assert!(is_whole(&bed.caller(0).send(reply("after", 3)).await));
+    assert!(is_complete(&bed.client(0).send(reply("after", 3)).await));
     assert_eq!(bed.engine(1).history().runs.len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_entry_ends_its_streams_and_exits() {
-    let mut bed = bed(BINARY, 2).await;
+    let mut bed = testbed(BINARY, 2).await;
     let running = streams(&bed, 0, 6).await;
     bed.site.entries[0].process.signal(Signal::Term);
     all_whole(running).await;
-    assert!(bed.site.entries[0].process.ended().await.unwrap().success());
-    assert!(is_whole(
-        &bed.caller(1).send(reply("by the other", 3)).await
+    assert!(bed.site.entries[0].process.wait().await.unwrap().success());
+    assert!(is_complete(
+        &bed.client(1).send(reply("by the other", 3)).await
     ));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_of_a_killed_agent_go_on_elsewhere() {
-    let mut bed = bed(BINARY, 3).await;
+    let mut bed = testbed(BINARY, 3).await;
     let running = streams(&bed, 0, 9).await;
     bed.site.workers[0].agent.kill().await.unwrap();
     all_whole(running).await;
     bed.site.restart_agent(0).unwrap();
-    bed.site.ready().await.unwrap();
-    assert!(is_whole(&bed.caller(0).send(reply("after", 3)).await));
+    bed.site.wait_ready().await.unwrap();
+    assert!(is_complete(&bed.client(0).send(reply("after", 3)).await));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -132,13 +135,15 @@
     let running = streams(&bed, 0, 6).await;
     bed.site.workers[0].agent.signal(Signal::Pause);
     all_whole(running).await;
-    assert!(is_whole(&bed.caller(0).send(reply("meanwhile", 3)).await));
+    assert!(is_complete(
+        &bed.client(0).send(reply("meanwhile", 3)).await
+    ));
     bed.site.workers[0].agent.signal(Signal::Resume);
-    assert!(is_whole(&bed.caller(1).send(reply("after", 3)).await));
+    assert!(is_complete(&bed.client(1).send(reply("after", 3)).await));
 }
 
-async fn bed_with_short_idle() -> Bed {
-    bed_with(BINARY, 3, |o| {
+async fn bed_with_short_idle() -> Testbed {
+    testbed_with(BINARY, 3, |o| {
         o.limits = o.limits.replace('}', ", idle_timeout: 1s}");
     })
     .await
@@ -146,16 +151,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_agent_for_a_slot_ends_at_once_with_1() {
-    let bed = bed(BINARY, 1).await;
+    let bed = testbed(BINARY, 1).await;
     let settings = bed.site.dir().join("agent-dossier-1.yaml");
     let binary = PathBuf::from(BINARY);
     // Also while the first is paused: the kernel holds its address.
     bed.site.workers[0].agent.signal(Signal::Pause);
     let mut second = Proc::start(&binary, "agent", "second", &settings).unwrap();
-    assert_eq!(second.ended().await.unwrap().code(), Some(1));
+    assert_eq!(second.wait().await.unwrap().code(), Some(1));
     bed.site.workers[0].agent.signal(Signal::Resume);
-    assert!(is_whole(
-        &bed.caller(0).send(reply("the first serves", 3)).await
+    assert!(is_complete(
+        &bed.client(0).send(reply("the first serves", 3)).await
     ));
     let orders = bed.engine(0).history().orders;
     assert!(orders.iter().all(|o| !o.conflicting && !o.stale_effective));
@@ -163,7 +168,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_restarted_while_the_table_is_down_serves_once_it_is_back() {
-    let mut bed = bed(BINARY, 1).await;
+    let mut bed = testbed(BINARY, 1).await;
     bed.site.table.gate().set(Faults {
         down: true,
         ..Faults::default()
@@ -171,24 +176,24 @@
     bed.site.entries[0].process.kill().await.unwrap();
     bed.site.restart_entry(0).unwrap();
     assert!(
-        is_whole(&bed.caller(1).send(lookup("/status/1")).await),
+        is_complete(&bed.client(1).send(lookup("/status/1")).await),
         "the other goes on"
     );
     bed.site.table.gate().set(Faults::default());
-    bed.site.ready().await.unwrap();
-    assert!(is_whole(&bed.caller(0).send(lookup("/status/2")).await));
-    assert!(is_whole(&bed.caller(0).send(notice("n", "x")).await));
+    bed.site.wait_ready().await.unwrap();
+    assert!(is_complete(&bed.client(0).send(lookup("/status/2")).await));
+    assert!(is_complete(&bed.client(0).send(notice("n", "x")).await));
 }
 
 /// Found by `bench faults`: the agent waited for ever for a peer that was paused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_agent_ends_though_a_peer_is_paused() {
-    let mut bed = bed_with(BINARY, 2, |o| {
+    let mut bed = testbed_with(BINARY, 2, |o| {
         o.limits = o.limits.replace('}', ", drain_bound: 2s}");
     })
     .await;
     for entry in 0..2 {
-        assert!(is_whole(&bed.caller(entry).send(reply("warm", 3)).await));
+        assert!(is_complete(&bed.client(entry).send(reply("warm", 3)).await));
     }
     bed.site.entries[1].process.signal(Signal::Pause);
     for worker in 0..2 {
@@ -209,7 +214,7 @@
 /// can only be read back when the agent has long been told to stop.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_that_comes_late_begins_nothing_at_a_leaving_upstream() {
-    let mut bed = bed(BINARY, 1).await;
+    let mut bed = testbed(BINARY, 1).await;
     let plain = bed
         .site
         .workers
@@ -223,14 +228,14 @@
         ..Faults::default()
     };
     bed.site.table.gate().set(lost);
-    let caller = bed.caller(0);
+    let caller = bed.client(0);
     let late = tokio::spawn(async move { caller.send(notice("late", "x")).await });
     let table = bed.site.table.clone();
     let claimed = || {
         let written = table.history().written;
         written.iter().any(|r| r.key.ends_with("key/late"))
     };
-    until("the claim", claimed).await;
+    wait_until("the claim", claimed).await;
     let cut = Faults {
         hang: true,
         ..Faults::default()
@@ -238,22 +243,22 @@
     bed.site.table.gate().set(cut);
     bed.site.workers[plain].agent.signal(Signal::Term);
     let told = now_ms();
-    until("the bound", || now_ms() > told + LEAVING_BOUND_MS).await;
+    wait_until("the bound", || now_ms() > told + MAX_LEAVING_DELAY_MS).await;
     bed.site.table.gate().set(Faults::default());
     let sent = late.await.unwrap();
     let not_run = matches!(
-        sent.got,
-        Got::Refused {
+        sent.result,
+        CallResult::Refused {
             outcome: Outcome::NotRun,
             ..
         }
     );
-    assert!(not_run, "{:?}", sent.got);
-    assert_eq!(bed.runs_of("late"), 0);
+    assert!(not_run, "{:?}", sent.result);
+    assert_eq!(bed.run_count("late"), 0);
     assert!(
         bed.site.workers[plain]
             .agent
-            .ended()
+            .wait()
             .await
             .unwrap()
             .success()
--- a/crates/arbutusquay/tests/operators.rs
+++ b/crates/arbutusquay/tests/operators.rs
@@ -1,8 +1,10 @@
 //! The operators' commands and documents in force.
 
-use bench::bed::{BOUND, LOOK, MODEL, PLAIN, bed, is_whole, lookup, reply};
-use bench::deploy::admin_of;
+use bench::deploy::admin_addr;
 use bench::scrape::document_versions;
+use bench::testbed::{
+    ENGINE_SERVICE, PLAIN_SERVICE, POLL_INTERVAL, WAIT_TIMEOUT, is_complete, lookup, reply, testbed,
+};
 use fakes::Faults;
 use fakes::serve::Standin;
 use std::path::Path;
@@ -17,7 +19,7 @@
 }
 
 async fn binary(args: &[&str]) -> bench::procs::Output {
-    bench::procs::command(Path::new(BINARY), args)
+    bench::procs::run_command(Path::new(BINARY), args)
         .await
         .unwrap()
 }
@@ -75,8 +77,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_racing_editors_one_is_accepted_and_the_other_sees_the_difference() {
-    let bed = bed(BINARY, 1).await;
-    let shown = bed.site.command(&["show", PLAIN]).await.unwrap();
+    let bed = testbed(BINARY, 1).await;
+    let shown = bed.site.command(&["show", PLAIN_SERVICE]).await.unwrap();
     assert_eq!(shown.code, Some(0));
     let edit = |deadline: &str| shown.stdout.replace("deadline: 5s", deadline);
     let a = write(bed.site.dir(), "a.yaml", &edit("deadline: 6s"));
@@ -97,7 +99,7 @@
         "{}",
         lost.stdout
     );
-    let now = bed.site.command(&["show", PLAIN]).await.unwrap();
+    let now = bed.site.command(&["show", PLAIN_SERVICE]).await.unwrap();
     assert!(now.stdout.contains(&format!("deadline: {won}")));
     let first = write(bed.site.dir(), "c.yaml", &bed.site.documents()[1]);
     assert_eq!(
@@ -109,8 +111,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_write_whose_answer_is_lost_is_settled_and_an_outage_ends_with_3() {
-    let bed = bed(BINARY, 1).await;
-    let shown = bed.site.command(&["show", PLAIN]).await.unwrap();
+    let bed = testbed(BINARY, 1).await;
+    let shown = bed.site.command(&["show", PLAIN_SERVICE]).await.unwrap();
     let file = write(
         bed.site.dir(),
         "a.yaml",
@@ -126,7 +128,11 @@
         down: true,
         ..Faults::default()
     });
-    for args in [vec!["apply", &file], vec!["show", PLAIN], vec!["status"]] {
+    for args in [
+        vec!["apply", &file],
+        vec!["show", PLAIN_SERVICE],
+        vec!["status"],
+    ] {
         let out = bed.site.command(&args).await.unwrap();
         assert_eq!(out.code, Some(3), "{args:?}: {}", out.stderr);
     }
@@ -136,7 +142,7 @@
     });
     let out = bed
         .site
-        .command(&["report", "--service", PLAIN])
+        .command(&["report", "--service", PLAIN_SERVICE])
         .await
         .unwrap();
     assert_eq!(out.code, Some(3));
@@ -144,8 +150,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_document_comes_into_force_everywhere() {
-    let bed = bed(BINARY, 2).await;
-    let shown = bed.site.command(&["show", PLAIN]).await.unwrap();
+    let bed = testbed(BINARY, 2).await;
+    let shown = bed.site.command(&["show", PLAIN_SERVICE]).await.unwrap();
     let text = shown.stdout.replace("name: lookup", "name: vraag");
     let file = write(bed.site.dir(), "a.yaml", &text);
     let out = bed.site.command(&["apply", &file]).await.unwrap();
@@ -159,32 +165,32 @@
         .unwrap();
     let wait = async {
         while !in_force(&bed.site, version).await {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(BOUND, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
         .expect("the document comes into force");
     for entry in 0..2 {
-        let ask = bench::mix::Ask {
+        let ask = bench::mix::ClientRequest {
             class: "vraag",
             ..lookup("/status/1")
         };
-        let sent = bed.caller(entry).send(ask).await;
-        assert!(is_whole(&sent), "{:?}", sent.got);
+        let sent = bed.client(entry).send(ask).await;
+        assert!(is_complete(&sent), "{:?}", sent.result);
     }
 }
 
 /// Whether all entries, and all agents of the plain service, go by a version.
 async fn in_force(site: &bench::site::Site, version: u64) -> bool {
-    let agents = site.workers.iter().filter(|w| w.service == PLAIN);
+    let agents = site.workers.iter().filter(|w| w.service == PLAIN_SERVICE);
     let addrs = site
         .entry_addrs()
         .into_iter()
         .chain(agents.map(|w| w.listen));
     for addr in addrs {
-        let seen = document_versions(admin_of(addr)).await.unwrap().versions;
-        if !seen.contains(&(PLAIN.to_owned(), version)) {
+        let seen = document_versions(admin_addr(addr)).await.unwrap().versions;
+        if !seen.contains(&(PLAIN_SERVICE.to_owned(), version)) {
             return false;
         }
     }
@@ -193,14 +199,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_model_reaches_every_engine_and_cuts_nothing_off() {
-    let bed = bed(BINARY, 3).await;
+    let bed = testbed(BINARY, 3).await;
     let load: Vec<_> = (0..30)
         .map(|n| {
-            let caller = bed.caller(n % 2);
+            let caller = bed.client(n % 2);
             tokio::spawn(async move { caller.send(reply(&format!("s {n}"), 200)).await })
         })
         .collect();
-    let shown = bed.site.command(&["show", MODEL]).await.unwrap();
+    let shown = bed.site.command(&["show", ENGINE_SERVICE]).await.unwrap();
     let file = write(
         bed.site.dir(),
         "m.yaml",
@@ -214,10 +220,10 @@
         let orders = e.history().orders;
         orders.last().is_some_and(|o| o.order.model.version == 2)
     };
-    bench::bed::until("the new model", || bed.engines().iter().all(changed)).await;
+    bench::testbed::wait_until("the new model", || bed.engines().iter().all(changed)).await;
     for t in load {
         let sent = t.await.unwrap();
-        assert!(is_whole(&sent), "{:?}", sent.got);
+        assert!(is_complete(&sent), "{:?}", sent.result);
     }
     for e in bed.engines() {
         for o in e.history().orders {
@@ -228,35 +234,37 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_report_and_the_metrics_tell_what_became_of_requests() {
-    let bed = bed(BINARY, 1).await;
+    let bed = testbed(BINARY, 1).await;
     for n in 0..5 {
-        assert!(is_whole(&bed.caller(n % 2).send(lookup("/status/1")).await));
+        assert!(is_complete(
+            &bed.client(n % 2).send(lookup("/status/1")).await
+        ));
     }
     let wait = async {
         loop {
             let out = bed
                 .site
-                .command(&["report", "--service", PLAIN, "--json"])
+                .command(&["report", "--service", PLAIN_SERVICE, "--json"])
                 .await
                 .unwrap();
             let report: serde_json::Value = serde_json::from_str(&out.stdout).unwrap();
             if report["all"]["served"] == 5 {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(BOUND, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
         .expect("the report has all five");
-    let admin = admin_of(bed.site.entries[0].addr);
+    let admin = admin_addr(bed.site.entries[0].addr);
     let req = hyper::Request::builder()
         .uri("/metrics")
         .header("host", "t")
         .body(net::empty())
         .unwrap();
-    let (_, text) = net::Pool::new(admin, BOUND)
-        .call(req, 1 << 20, BOUND)
+    let (_, text) = net::Pool::new(admin, WAIT_TIMEOUT)
+        .call(req, 1 << 20, WAIT_TIMEOUT)
         .await
         .unwrap();
     let text = String::from_utf8(text.to_vec()).unwrap();
--- a/crates/arbutusquay/tests/path.rs
+++ b/crates/arbutusquay/tests/path.rs
@@ -1,9 +1,9 @@
 //! The whole path, with real processes: answers, refusals, bad input, faults of
 //! upstreams and of the table service.
 
-use bench::bed::{Bed, bed, is_whole, lookup, notice, reply, until};
-use bench::caller::{Got, Sent, request};
-use bench::mix::{Ask, What};
+use bench::client::{Call, CallResult, http_request};
+use bench::mix::{ClientRequest, RequestKind};
+use bench::testbed::{Testbed, is_complete, lookup, notice, reply, testbed, wait_until};
 use fakes::Faults;
 use fakes::serve::Standin;
 use http_body_util::BodyExt;
@@ -17,70 +17,70 @@
 /// The shipped binary.
 const BINARY: &str = env!("CARGO_BIN_EXE_arbutusquay");
 
-fn refused(sent: &Sent) -> (Outcome, &str) {
-    match &sent.got {
-        Got::Refused { outcome, reason } => (*outcome, reason),
+fn refused(sent: &Call) -> (Outcome, &str) {
+    match &sent.result {
+        CallResult::Refused { outcome, reason } => (*outcome, reason),
         other => panic!("{other:?}"),
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole_in_every_form() {
-    let bed = bed(BINARY, 2).await;
-    let caller = bed.caller(0);
+    let bed = testbed(BINARY, 2).await;
+    let caller = bed.client(0);
     for (chat, stream) in [(false, false), (false, true), (true, false), (true, true)] {
         let prompt = format!("form {chat} {stream}");
-        let what = What::Completion {
+        let kind = RequestKind::Completion {
             prompt,
             tokens: 17,
             chat,
             stream,
         };
         let sent = caller
-            .send(Ask {
-                what,
+            .send(ClientRequest {
+                kind,
                 ..reply("", 1)
             })
             .await;
-        assert!(is_whole(&sent), "{chat} {stream}: {:?}", sent.got);
+        assert!(is_complete(&sent), "{chat} {stream}: {:?}", sent.result);
         assert!(sent.id.is_some());
     }
-    assert!(is_whole(&caller.send(lookup("/status/7?of=ann")).await));
+    assert!(is_complete(&caller.send(lookup("/status/7?of=ann")).await));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_key_gets_the_kept_answer_through_any_entry_and_runs_once() {
-    let bed = bed(BINARY, 2).await;
-    let first = bed.caller(0).send(notice("k1", "you are third")).await;
-    assert_eq!(first.got, Got::Whole { kept: false });
+    let bed = testbed(BINARY, 2).await;
+    let first = bed.client(0).send(notice("k1", "you are third")).await;
+    assert_eq!(first.result, CallResult::Complete { replayed: false });
     // The answer is kept a moment after it was given.
-    let mut repeat = bed.caller(1).send(notice("k1", "you are third")).await;
+    let mut repeat = bed.client(1).send(notice("k1", "you are third")).await;
     while matches!(
-        &repeat.got,
-        Got::Refused {
+        &repeat.result,
+        CallResult::Refused {
             outcome: Outcome::Unknown,
             ..
         }
     ) {
-        repeat = bed.caller(1).send(notice("k1", "you are third")).await;
+        repeat = bed.client(1).send(notice("k1", "you are third")).await;
     }
-    assert_eq!(repeat.got, Got::Whole { kept: true });
-    let other = bed.caller(1).send(notice("k1", "something else")).await;
+    assert_eq!(repeat.result, CallResult::Complete { replayed: true });
+    let other = bed.client(1).send(notice("k1", "something else")).await;
     assert_eq!(refused(&other), (Outcome::NotRun, "bad-request"));
-    assert_eq!(bed.runs_of("k1"), 1);
+    assert_eq!(bed.run_count("k1"), 1);
     let race = (0..8).map(|n| {
-        let caller = bed.caller(n % 2);
+        let caller = bed.client(n % 2);
         tokio::spawn(async move { caller.send(notice("k2", "raced")).await })
     });
     for task in race.collect::<Vec<_>>() {
         let sent = task.await.unwrap();
         assert!(
-            is_whole(&sent) || refused(&sent).0 == Outcome::Unknown,
+            is_complete(&sent) || refused(&sent).0 == Outcome::Unknown,
             "{:?}",
-            sent.got
+            sent.result
         );
     }
-    assert_eq!(bed.runs_of("k2"), 1);
+    assert_eq!(bed.run_count("k2"), 1);
 }
 
 /// Method, path, body, a header, and the status and reason that must come.
@@ -166,7 +166,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_requests_are_refused_with_a_type() {
-    let bed = bed(BINARY, 1).await;
+    let bed = testbed(BINARY, 1).await;
     let pool = Pool::new(bed.site.entries[0].addr, Duration::from_secs(5));
     for (method, path, body, header, status, reason) in WRONG {
         let mut req = Request::builder()
@@ -190,23 +190,23 @@
         assert!(text.contains("\"outcome\":\"not-run\""), "{text}");
     }
     assert!(
-        bed.plains().iter().all(|p| p.history().is_empty()),
+        bed.plain_services().iter().all(|p| p.history().is_empty()),
         "nothing of it ran"
     );
 }
 
-async fn raw(bed: &Bed, bytes: &[u8]) -> String {
+async fn raw(bed: &Testbed, bytes: &[u8]) -> String {
     let mut tcp = TcpStream::connect(bed.site.entries[0].addr).await.unwrap();
     // The other side may answer and close before all is sent.
     let _ = tcp.write_all(bytes).await;
     let mut got = Vec::new();
-    let _ = tokio::time::timeout(bench::bed::BOUND, tcp.read_to_end(&mut got)).await;
+    let _ = tokio::time::timeout(bench::testbed::WAIT_TIMEOUT, tcp.read_to_end(&mut got)).await;
     String::from_utf8_lossy(&got).into_owned()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn hostile_input_is_refused_and_the_process_stays_up() {
-    let bed = bed(BINARY, 1).await;
+    let bed = testbed(BINARY, 1).await;
     let head =
         "POST /taalmodel-dossier/v1/completions HTTP/1.1\r\nhost: e\r\nconnection: close\r\n";
     assert!(
@@ -226,15 +226,15 @@
     let got = raw(&bed, long.as_bytes()).await;
     // The refusal may be lost when the rest of the body meets a closed socket.
     assert!(got.is_empty() || got.contains("too-large"), "{got}");
-    assert!(is_whole(
-        &bed.caller(0).send(reply("still there?", 5)).await
+    assert!(is_complete(
+        &bed.client(0).send(reply("still there?", 5)).await
     ));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_answers_nonsense_costs_a_retry_and_never_a_wrong_answer() {
-    let bed = bed(BINARY, 3).await;
-    let caller = bed.caller(0);
+    let bed = testbed(BINARY, 3).await;
+    let caller = bed.client(0);
     let faults = [
         Faults {
             break_streams: 1,
@@ -259,7 +259,7 @@
             .collect();
         for t in tasks {
             let sent = t.await.unwrap();
-            assert!(is_whole(&sent), "{fault:?}: {:?}", sent.got);
+            assert!(is_complete(&sent), "{fault:?}: {:?}", sent.result);
         }
     }
     for e in bed.engines() {
@@ -276,7 +276,7 @@
 /// its end, was resumed past its length and got a token too many.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_breaks_after_its_last_token_is_not_resumed() {
-    let bed = bed(BINARY, 2).await;
+    let bed = testbed(BINARY, 2).await;
     for tokens in [1, 7] {
         for e in bed.engines() {
             // The last chunk comes twice, which breaks the try after it.
@@ -285,62 +285,63 @@
                 ..Faults::default()
             });
         }
-        let sent = bed.caller(0).send(reply("short", tokens)).await;
-        assert!(is_whole(&sent), "{tokens}: {:?}", sent.got);
+        let sent = bed.client(0).send(reply("short", tokens)).await;
+        assert!(is_complete(&sent), "{tokens}: {:?}", sent.result);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_of_a_non_idempotent_call_is_unknown_for_good_and_ran_once() {
-    let bed = bed(BINARY, 1).await;
-    let plain = bed.plains().remove(0);
+    let bed = testbed(BINARY, 1).await;
+    let plain = bed.plain_services().remove(0);
     plain.gate().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
-    let sent = bed.caller(0).send(notice("lost", "x")).await;
+    let sent = bed.client(0).send(notice("lost", "x")).await;
     assert_eq!(refused(&sent).0, Outcome::Unknown);
-    let again = bed.caller(1).send(notice("lost", "x")).await;
+    let again = bed.client(1).send(notice("lost", "x")).await;
     assert_eq!(refused(&again), (Outcome::Unknown, "key-in-use"));
-    assert_eq!(bed.runs_of("lost"), 1);
+    assert_eq!(bed.run_count("lost"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn with_the_table_service_down_idempotent_work_goes_on_and_the_rest_is_not_run() {
-    let bed = bed(BINARY, 1).await;
+    let bed = testbed(BINARY, 1).await;
     bed.site.table.gate().set(Faults {
         down: true,
         ..Faults::default()
     });
-    let sent = bed.caller(0).send(notice("down", "x")).await;
+    let sent = bed.client(0).send(notice("down", "x")).await;
     assert_eq!(refused(&sent), (Outcome::NotRun, "claim-unavailable"));
-    assert!(is_whole(&bed.caller(0).send(reply("p", 5)).await));
-    assert!(is_whole(&bed.caller(1).send(lookup("/status/1")).await));
-    assert_eq!(bed.runs_of("down"), 0);
+    assert!(is_complete(&bed.client(0).send(reply("p", 5)).await));
+    assert!(is_complete(&bed.client(1).send(lookup("/status/1")).await));
+    assert_eq!(bed.run_count("down"), 0);
     bed.site.table.gate().set(Faults::default());
-    assert!(is_whole(&bed.caller(0).send(notice("down", "x")).await));
+    assert!(is_complete(&bed.client(0).send(notice("down", "x")).await));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_hangs_up_cancels_a_completion_but_not_a_non_idempotent_call() {
-    let bed = bed(BINARY, 1).await;
+    let bed = testbed(BINARY, 1).await;
     let engine = bed.engine(0);
     let pool = Pool::new(bed.site.entries[0].addr, Duration::from_secs(5));
     let mut answer = pool
-        .send_on_new(request(&reply("endless", 30_000)))
+        .send_on_new(http_request(&reply("endless", 30_000)))
         .await
         .unwrap();
     answer.response.body_mut().frame().await.unwrap().unwrap();
     assert_eq!(engine.open_requests(), 1);
     drop(answer);
-    until("the cancel", || engine.open_requests() == 0).await;
+    wait_until("the cancel", || engine.open_requests() == 0).await;
 
-    let plain = bed.plains().remove(0);
+    let plain = bed.plain_services().remove(0);
     plain.gate().set(Faults {
         delay_ms: 300,
         ..Faults::default()
     });
-    let begun = tokio::spawn(async move { pool.send_on_new(request(&notice("gone", "x"))).await });
+    let begun =
+        tokio::spawn(async move { pool.send_on_new(http_request(&notice("gone", "x"))).await });
     let table = bed.site.table.clone();
     let claimed = || {
         table
@@ -349,9 +350,9 @@
             .iter()
             .any(|r| r.key.ends_with("key/gone"))
     };
-    until("the claim", claimed).await;
+    wait_until("the claim", claimed).await;
     begun.abort();
-    until("the run", || bed.runs_of("gone") == 1).await;
+    wait_until("the run", || bed.run_count("gone") == 1).await;
     let answered = || {
         table
             .history()
@@ -361,9 +362,9 @@
             .count()
             == 2
     };
-    until("the kept answer", answered).await;
+    wait_until("the kept answer", answered).await;
     plain.gate().set(Faults::default());
-    let repeat = bed.caller(1).send(notice("gone", "x")).await;
-    assert_eq!(repeat.got, Got::Whole { kept: true });
-    assert_eq!(bed.runs_of("gone"), 1);
+    let repeat = bed.client(1).send(notice("gone", "x")).await;
+    assert_eq!(repeat.result, CallResult::Complete { replayed: true });
+    assert_eq!(bed.run_count("gone"), 1);
 }
--- a/crates/arbutusquay/tests/stopping.rs
+++ b/crates/arbutusquay/tests/stopping.rs
@@ -1,9 +1,11 @@
 //! What a stopping process takes on, and what becomes of what it can't end.
 
-use bench::bed::{Bed, LOOK, MODEL, bed_with, is_whole, notice, reply, until};
-use bench::caller::{Got, Sent};
-use bench::deploy::admin_of;
+use bench::client::{Call, CallResult};
+use bench::deploy::admin_addr;
 use bench::procs::Signal;
+use bench::testbed::{
+    ENGINE_SERVICE, POLL_INTERVAL, Testbed, is_complete, notice, reply, testbed_with, wait_until,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,10 +24,10 @@
 const LEARN: u32 = 20;
 
 /// A site whose processes stop within `linger` and a drain bound of 2 s.
-async fn slow_bed(workers: usize, linger: &str) -> Bed {
-    bed_with(BINARY, workers, |o| {
+async fn slow_bed(workers: usize, linger: &str) -> Testbed {
+    testbed_with(BINARY, workers, |o| {
         o.rates.step = STEP;
-        o.plain_work = LONG_CALL;
+        o.plain_service_time = LONG_CALL;
         let limits = o.limits.replace("linger: 100ms", linger);
         o.limits = limits.replace('}', ", drain_bound: 2s}");
     })
@@ -38,21 +40,21 @@
         let req = hyper::Request::builder().uri("/health").header("host", "t");
         let req = req.body(net::empty()).unwrap();
         match pool.call(req, 1024, Duration::from_secs(5)).await {
-            Ok((status, _)) if status.is_success() => tokio::time::sleep(LOOK).await,
+            Ok((status, _)) if status.is_success() => tokio::time::sleep(POLL_INTERVAL).await,
             _ => return,
         }
     }
 }
 
-fn refused(sent: &Sent) -> (Outcome, &str) {
-    match &sent.got {
-        Got::Refused { outcome, reason } => (*outcome, reason),
+fn refused(sent: &Call) -> (Outcome, &str) {
+    match &sent.result {
+        CallResult::Refused { outcome, reason } => (*outcome, reason),
         other => panic!("{other:?}"),
     }
 }
 
 /// The log lines of a process about one event.
-fn lines(bed: &Bed, process: &str, event: &str) -> Vec<serde_json::Value> {
+fn lines(bed: &Testbed, process: &str, event: &str) -> Vec<serde_json::Value> {
     let log = bed.site.dir().join(format!("{process}.log"));
     let text = std::fs::read_to_string(log).unwrap();
     let parse = |l| serde_json::from_str::<serde_json::Value>(l).ok();
@@ -61,25 +63,27 @@
 }
 
 /// Starts a stream and waits until an engine runs it.
-async fn long_stream(bed: &Bed, entry: usize) -> tokio::task::JoinHandle<Sent> {
-    let caller = bed.caller(entry);
+async fn long_stream(bed: &Testbed, entry: usize) -> tokio::task::JoinHandle<Call> {
+    let caller = bed.client(entry);
     let task = tokio::spawn(async move { caller.send(reply("long", LONG)).await });
     let runs = || bed.engines().iter().any(|e| e.open_requests() > 0);
-    until("the stream", runs).await;
+    wait_until("the stream", runs).await;
     task
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_entry_refuses_what_it_can_t_end_and_answers_the_rest() {
     let mut bed = slow_bed(1, "linger: 6s").await;
-    assert!(is_whole(&bed.caller(0).send(reply("learn", LEARN)).await));
+    assert!(is_complete(
+        &bed.client(0).send(reply("learn", LEARN)).await
+    ));
     bed.site.entries[0].process.signal(Signal::Term);
-    not_ready(admin_of(bed.site.entries[0].addr)).await;
-    let long = bed.caller(0).send(reply("long", LONG)).await;
-    let short = bed.caller(0).send(reply("short", 3)).await;
+    not_ready(admin_addr(bed.site.entries[0].addr)).await;
+    let long = bed.client(0).send(reply("long", LONG)).await;
+    let short = bed.client(0).send(reply("short", 3)).await;
     assert_eq!(refused(&long), (Outcome::NotRun, "leaving"));
-    assert!(is_whole(&short), "{:?}", short.got);
-    assert!(bed.site.entries[0].process.ended().await.unwrap().success());
+    assert!(is_complete(&short), "{:?}", short.result);
+    assert!(bed.site.entries[0].process.wait().await.unwrap().success());
     let told = lines(&bed, "entry-1", "request");
     let line = told.iter().find(|l| l["reason"] == "leaving").unwrap();
     assert!(line["stopping_ms"].is_u64(), "{line}");
@@ -93,7 +97,7 @@
     bed.site.entries[0].process.signal(Signal::Term);
     let sent = stream.await.unwrap();
     assert_eq!(refused(&sent), (Outcome::Unknown, "process-ends"));
-    assert!(bed.site.entries[0].process.ended().await.unwrap().success());
+    assert!(bed.site.entries[0].process.wait().await.unwrap().success());
     let told = lines(&bed, "entry-1", "request");
     let line = told.iter().find(|l| l["reason"] == "process-ends").unwrap();
     assert!(line["stopping_ms"].is_null(), "{line}");
@@ -103,9 +107,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_outlasts_its_agent_is_unknown_for_a_reason_of_its_own() {
     let bed = slow_bed(1, "linger: 100ms").await;
-    let caller = bed.caller(0);
+    let caller = bed.client(0);
     let call = tokio::spawn(async move { caller.send(notice("k", "x")).await });
-    until("the call", || bed.runs_of("k") == 1).await;
+    wait_until("the call", || bed.run_count("k") == 1).await;
     let plain = bed.site.workers.iter();
     let plain = plain.filter(|w| w.upstream.name == "portaal-1");
     plain.for_each(|w| w.agent.signal(Signal::Term));
@@ -120,7 +124,7 @@
     let at = usize::from(bed.engine(0).open_requests() == 0);
     assert!(bed.site.workers[at].agent.stop().await.unwrap().success());
     let sent = stream.await.unwrap();
-    assert!(is_whole(&sent), "{:?}", sent.got);
+    assert!(is_complete(&sent), "{:?}", sent.result);
 }
 
 /// As all agents are restarted one after the other, on a small fleet back to the first.
@@ -132,29 +136,29 @@
     for at in [first, 1 - first, first] {
         assert!(bed.site.workers[at].agent.stop().await.unwrap().success());
         let moved = || bed.engine(1 - at).open_requests() > 0;
-        until("the stream at the other engine", moved).await;
+        wait_until("the stream at the other engine", moved).await;
         bed.site.restart_agent(at).unwrap();
-        bed.site.ready().await.unwrap();
+        bed.site.wait_ready().await.unwrap();
     }
     let sent = stream.await.unwrap();
-    assert!(is_whole(&sent), "{:?}", sent.got);
+    assert!(is_complete(&sent), "{:?}", sent.result);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_signal_but_a_kill_cuts_off_a_stream() {
     let mut bed = slow_bed(1, "linger: 100ms").await;
-    let caller = bed.caller(0);
+    let caller = bed.client(0);
     let stream = tokio::spawn(async move { caller.send(reply("short", LEARN)).await });
     let runs = || bed.engine(0).open_requests() > 0;
-    until("the stream", runs).await;
+    wait_until("the stream", runs).await;
     let entry = &mut bed.site.entries[0].process;
     for signal in [Signal::Hangup, Signal::Term, Signal::Term, Signal::Hangup] {
         entry.signal(signal);
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let sent = stream.await.unwrap();
-    assert!(is_whole(&sent), "{:?}", sent.got);
-    assert!(entry.ended().await.unwrap().success());
+    assert!(is_complete(&sent), "{:?}", sent.result);
+    assert!(entry.wait().await.unwrap().success());
 }
 
 /// A request that is sent on a kept connection just as the server ends gets no answer.
@@ -164,25 +168,27 @@
     let addr = bed.site.entries[0].addr;
     let pool = net::Pool::new(addr, Duration::from_secs(5));
     let answer = || async {
-        let req = bench::caller::request(&reply("short", 3));
+        let req = bench::client::http_request(&reply("short", 3));
         let answer = pool.send_on_new(req).await.unwrap();
         answer.response.headers().get("connection").cloned()
     };
     assert_eq!(answer().await, None);
     bed.site.entries[0].process.signal(Signal::Term);
-    not_ready(admin_of(addr)).await;
+    not_ready(admin_addr(addr)).await;
     assert_eq!(answer().await.unwrap(), "close");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_body_never_comes_is_answered_before_the_end() {
-    let mut bed = bed_with(BINARY, 1, |o| {
+    let mut bed = testbed_with(BINARY, 1, |o| {
         let limits = o.limits.replace("read_timeout: 2s", "read_timeout: 30s");
         o.limits = limits.replace('}', ", drain_bound: 2s}");
     })
     .await;
     let mut caller = TcpStream::connect(bed.site.entries[0].addr).await.unwrap();
-    let head = format!("POST /{MODEL}/v1/completions HTTP/1.1\r\nhost: e\r\ncontent-length: 9\r\n");
+    let head = format!(
+        "POST /{ENGINE_SERVICE}/v1/completions HTTP/1.1\r\nhost: e\r\ncontent-length: 9\r\n"
+    );
     caller.write_all(head.as_bytes()).await.unwrap();
     caller
         .write_all(b"expect: 100-continue\r\n\r\n")
@@ -198,6 +204,6 @@
     let _ = caller.read_to_string(&mut answer).await;
     assert!(answer.contains("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("process-ends"), "{answer}");
-    assert!(bed.site.entries[0].process.ended().await.unwrap().success());
+    assert!(bed.site.entries[0].process.wait().await.unwrap().success());
     assert_eq!(lines(&bed, "entry-1", "stopped")[0]["unfinished"], 1);
 }
--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -6,8 +6,8 @@
 use std::{fs, io};
 
 /// Marks of the machine-readable part of docs/CAPACITY.md.
-const BEGIN: &str = "```json capacity\n";
-const END: &str = "\n```";
+const BLOCK_BEGIN: &str = "```json capacity\n";
+const BLOCK_END: &str = "\n```";
 
 /// One term of a row: a measured figure times a number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -23,30 +23,30 @@
 /// A row: what something costs at the target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// What costs what.
+    /// RequestKind costs what.
     pub name: String,
     /// The terms, to be added.
     pub terms: Vec<Term>,
     /// Their sum.
     pub value: f64,
-    /// What is allowed, if anything is said.
+    /// RequestKind is allowed, if anything is said.
     pub limit: Option<f64>,
 }
 
 /// Reads the rows from the page; none if they can't be read.
 pub fn rows(page: &str) -> Option<Vec<Row>> {
-    let (_, rest) = page.split_once(BEGIN)?;
-    let (block, _) = rest.split_once(END)?;
+    let (_, rest) = page.split_once(BLOCK_BEGIN)?;
+    let (block, _) = rest.split_once(BLOCK_END)?;
     serde_json::from_str(block).ok()
 }
 
 /// Puts rows into the page.
-pub fn with_rows(page: &str, rows: &[Row]) -> Option<String> {
-    let (head, rest) = page.split_once(BEGIN)?;
-    let (_, tail) = rest.split_once(END)?;
+pub fn replace_rows(page: &str, rows: &[Row]) -> Option<String> {
+    let (head, rest) = page.split_once(BLOCK_BEGIN)?;
+    let (_, tail) = rest.split_once(BLOCK_END)?;
     let lines: Option<Vec<String>> = rows.iter().map(|r| serde_json::to_string(r).ok()).collect();
     let block = format!("[\n{}\n]", lines?.join(",\n"));
-    Some(format!("{head}{BEGIN}{block}{END}{tail}"))
+    Some(format!("{head}{BLOCK_BEGIN}{block}{BLOCK_END}{tail}"))
 }
 
 /// Works a row's value out; none if a term names what wasn't measured.
@@ -93,7 +93,7 @@
 
 /// Works the committed page's rows out anew from the committed slopes, and
 /// prints them as a table.
-pub fn renew() -> io::Result<()> {
+pub fn update_page() -> io::Result<()> {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     let slopes: Slopes = serde_json::from_str(&fs::read_to_string(docs.join("slopes.json"))?)?;
     let page = fs::read_to_string(docs.join("CAPACITY.md"))?;
@@ -103,7 +103,7 @@
         let unknown = || io::Error::other(format!("{}: a term wasn't measured", row.name));
         row.value = value(row, &slopes).ok_or_else(unknown)?;
     }
-    let renewed = with_rows(&page, &rows).ok_or_else(unreadable)?;
+    let renewed = replace_rows(&page, &rows).ok_or_else(unreadable)?;
     fs::write(docs.join("CAPACITY.md"), renewed)?;
     println!("{}", table(&rows));
     Ok(())
--- a/crates/bench/src/check.rs
+++ b/crates/bench/src/check.rs
@@ -1,9 +1,9 @@
 //! The rules by which a history is judged, one function for each promise.
 //!
-//! A history joins what callers, stand-ins and the fault schedule wrote, each on
+//! A history joins what clients, stand-ins and the fault schedule wrote, each on
 //! its own. The product isn't asked.
 
-use crate::caller::{Got, Sent};
+use crate::client::{Call, CallResult};
 use fakes::engine::OrderSeen;
 use std::collections::{BTreeMap, BTreeSet};
 use store::Row;
@@ -11,20 +11,20 @@
 use wire::Outcome;
 
 /// A leaving upstream gets no new work after this, in milliseconds.
-pub const LEAVING_BOUND_MS: u64 = 3_000;
+pub const MAX_LEAVING_DELAY_MS: u64 = 3_000;
 /// An accepted configuration is in force after this, in milliseconds.
-pub const CONFIG_BOUND_MS: u64 = 12_000;
+pub const MAX_CONFIG_DELAY_MS: u64 = 12_000;
 
 /// A run at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunSeen {
+pub struct ObservedRun {
     /// The upstream.
     pub upstream: String,
     /// The service.
     pub service: String,
     /// The request's id.
     pub request: String,
-    /// The caller's key, or an empty text.
+    /// The client's key, or an empty text.
     pub key: String,
     /// Whether the document calls it idempotent.
     pub idempotent: bool,
@@ -34,20 +34,20 @@
 
 /// A time during which an upstream was leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Leaving {
+pub struct LeavingPeriod {
     /// The upstream.
     pub upstream: String,
     /// When its agent was told, or the list began to say so.
     pub from_ms: u64,
     /// Whether only the list says so.
-    pub by_list: bool,
+    pub host_list_only: bool,
     /// When it was taken back, or the run ended.
     pub until_ms: u64,
 }
 
 /// A document that the table service accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedDocument {
     /// The service.
     pub service: String,
     /// The version.
@@ -58,7 +58,7 @@
 
 /// The version in force in a process at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sample {
+pub struct VersionSample {
     /// The process's name.
     pub process: String,
     /// Its id, which tells incarnations apart.
@@ -74,7 +74,7 @@
 /// A time during which a process couldn't be expected to follow: it was paused
 /// or down, or the table service was.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Excused {
+pub struct ExemptPeriod {
     /// The process; `None` for all.
     pub process: Option<String>,
     /// From when.
@@ -86,24 +86,24 @@
 /// Everything that was seen.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// What callers got.
-    pub sent: Vec<Sent>,
+    /// RequestKind clients got.
+    pub calls: Vec<Call>,
     /// Runs at upstreams.
-    pub runs: Vec<RunSeen>,
+    pub runs: Vec<ObservedRun>,
     /// Orders that engines saw, by upstream, in order.
     pub orders: Vec<(String, OrderSeen)>,
     /// Rows that the table service wrote, in order.
     pub rows: Vec<Row>,
     /// When upstreams were leaving.
-    pub leaving: Vec<Leaving>,
+    pub leaving: Vec<LeavingPeriod>,
     /// Documents that were accepted.
-    pub accepted: Vec<Accepted>,
+    pub accepted: Vec<AcceptedDocument>,
     /// Versions in force.
-    pub samples: Vec<Sample>,
+    pub samples: Vec<VersionSample>,
     /// When processes couldn't follow.
-    pub excused: Vec<Excused>,
+    pub exemptions: Vec<ExemptPeriod>,
     /// When nobody could read the host list, or only now and then.
-    pub list_out: Vec<(u64, u64)>,
+    pub host_list_outages: Vec<(u64, u64)>,
 }
 
 /// Orders that came while a different change was under way.
@@ -138,21 +138,21 @@
 
 /// Answers to something else.
 pub fn crossed(h: &History) -> u64 {
-    count(h.sent.iter(), |s| s.got == Got::Crossed)
+    count(h.calls.iter(), |s| s.result == CallResult::Crossed)
 }
 
 /// Answers that aren't whole and don't say so.
 pub fn truncated(h: &History) -> u64 {
-    count(h.sent.iter(), |s| s.got == Got::Truncated)
+    count(h.calls.iter(), |s| s.result == CallResult::Truncated)
 }
 
 /// Requests refused as not run that ran.
 pub fn false_not_run(h: &History) -> u64 {
     let ran: BTreeSet<&str> = h.runs.iter().map(|r| r.request.as_str()).collect();
-    count(h.sent.iter(), |s| {
+    count(h.calls.iter(), |s| {
         matches!(
-            s.got,
-            Got::Refused {
+            s.result,
+            CallResult::Refused {
                 outcome: Outcome::NotRun,
                 ..
             }
@@ -160,7 +160,7 @@
     })
 }
 
-/// Runs of non-idempotent calls beyond the first: by the caller's key, or by the
+/// Runs of non-idempotent calls beyond the first: by the client's key, or by the
 /// request's id where there was none.
 pub fn double_runs(h: &History) -> u64 {
     let mut times: BTreeMap<(&str, &str, &str), u64> = BTreeMap::new();
@@ -182,19 +182,19 @@
 }
 
 /// Whether a run began at an upstream that had been leaving for a while.
-pub fn is_late_work(h: &History, r: &RunSeen) -> bool {
+pub fn is_late_work(h: &History, r: &ObservedRun) -> bool {
     h.leaving.iter().any(|l| {
         let during = l.upstream == r.upstream && r.at_ms > l.from_ms && r.at_ms < l.until_ms;
-        during && r.at_ms - l.from_ms - unsaid(h, l, r.at_ms) > LEAVING_BOUND_MS
+        during && r.at_ms - l.from_ms - host_list_outage_ms(h, l, r.at_ms) > MAX_LEAVING_DELAY_MS
     })
 }
 
 /// How much of the time up to a moment the list couldn't say that a host leaves.
-fn unsaid(h: &History, l: &Leaving, until: u64) -> u64 {
-    if !l.by_list {
+fn host_list_outage_ms(h: &History, l: &LeavingPeriod, until: u64) -> u64 {
+    if !l.host_list_only {
         return 0;
     }
-    overlap(h.list_out.iter().copied(), l.from_ms, until)
+    covered_ms(h.host_list_outages.iter().copied(), l.from_ms, until)
 }
 
 /// Times that a process went back to a lower version.
@@ -216,21 +216,22 @@
         h.accepted.iter().any(|a| {
             a.service == s.service
                 && s.version < a.version
-                && s.at_ms > a.at_ms + CONFIG_BOUND_MS
-                && s.at_ms - a.at_ms - excused(h, &s.process, a.at_ms, s.at_ms) > CONFIG_BOUND_MS
+                && s.at_ms > a.at_ms + MAX_CONFIG_DELAY_MS
+                && s.at_ms - a.at_ms - exempt_ms(h, &s.process, a.at_ms, s.at_ms)
+                    > MAX_CONFIG_DELAY_MS
         })
     })
 }
 
 /// How much of a time a process is excused.
-fn excused(h: &History, process: &str, from: u64, until: u64) -> u64 {
-    let of = |e: &&Excused| e.process.as_deref().is_none_or(|p| p == process);
-    let spans = h.excused.iter().filter(of);
-    overlap(spans.map(|e| (e.from_ms, e.until_ms)), from, until)
+fn exempt_ms(h: &History, process: &str, from: u64, until: u64) -> u64 {
+    let of = |e: &&ExemptPeriod| e.process.as_deref().is_none_or(|p| p == process);
+    let spans = h.exemptions.iter().filter(of);
+    covered_ms(spans.map(|e| (e.from_ms, e.until_ms)), from, until)
 }
 
-/// How much of a time spans cover; where they overlap counts once.
-fn overlap(spans: impl Iterator<Item = (u64, u64)>, from: u64, until: u64) -> u64 {
+/// How much of a time spans cover; where they covered_ms counts once.
+fn covered_ms(spans: impl Iterator<Item = (u64, u64)>, from: u64, until: u64) -> u64 {
     let clip = |(a, b): (u64, u64)| (a.max(from), b.min(until));
     let mut spans: Vec<(u64, u64)> = spans.map(clip).filter(|(a, b)| a < b).collect();
     spans.sort_unstable();
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/client.rs
@@ -1,6 +1,6 @@
-//! A caller, which checks what it gets against what it asked for.
+//! A client, which checks what it gets against what it asked for.
 
-use crate::mix::{Ask, What};
+use crate::mix::{ClientRequest, RequestKind};
 use engine::sse::EventReader;
 use fakes::answer;
 use fakes::plain::PlainAnswer;
@@ -14,24 +14,24 @@
 use std::time::{Duration, Instant};
 use wire::Outcome;
 
-/// Longest that a caller waits for a whole answer.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Longest that a client waits for a whole answer.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(5);
-/// Largest answer that a caller reads.
-const MAX_ANSWER: usize = 16 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest answer that a client reads.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// What a caller got.
+/// RequestKind a client got.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Got {
+pub enum CallResult {
     /// The whole answer to its request.
-    Whole {
-        /// It is the one kept from an earlier request with the same key.
-        kept: bool,
+    Complete {
+        /// It is the one replayed from an earlier request with the same key.
+        replayed: bool,
     },
     /// A typed refusal.
     Refused {
-        /// What it says.
+        /// RequestKind it says.
         outcome: Outcome,
         /// Why, as it says.
         reason: String,
@@ -41,27 +41,27 @@
     /// An answer to something else.
     Crossed,
     /// The connection broke, or an answer that is no answer.
-    Nothing(String),
+    Failed(String),
 }
 
 /// A request with what came of it.
 #[derive(Debug, Clone)]
-pub struct Sent {
-    /// What was asked.
-    pub ask: Ask,
+pub struct Call {
+    /// RequestKind was asked.
+    pub request: ClientRequest,
     /// The request's id, if the answer had one.
     pub id: Option<String>,
-    /// What came.
-    pub got: Got,
+    /// RequestKind came.
+    pub result: CallResult,
     /// Time to the first byte of the answer's content.
-    pub first: Option<Duration>,
+    pub first_byte: Option<Duration>,
     /// Times between tokens of a stream.
-    pub gaps: Vec<Duration>,
+    pub token_gaps: Vec<Duration>,
 }
 
 /// Sends requests to one entry.
 #[derive(Debug, Clone)]
-pub struct Caller {
+pub struct Client {
     pool: Pool,
 }
 
@@ -101,70 +101,73 @@
     }
 }
 
-impl Caller {
-    /// A caller of the entry at an address.
+impl Client {
+    /// A client of the entry at an address.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
-            pool: Pool::new(addr, CONNECT),
+            pool: Pool::new(addr, CONNECT_TIMEOUT),
         }
     }
 
     /// Sends a request and waits for all that comes of it.
-    pub async fn send(&self, ask: Ask) -> Sent {
+    pub async fn send(&self, request: ClientRequest) -> Call {
         let since = Instant::now();
-        let mut sent = Sent {
-            ask,
+        let mut call = Call {
+            request,
             id: None,
-            got: Got::Truncated,
-            first: None,
-            gaps: Vec::new(),
+            result: CallResult::Truncated,
+            first_byte: None,
+            token_gaps: Vec::new(),
         };
-        let whole = self.exchange(&mut sent, since);
-        if tokio::time::timeout(PATIENCE, whole).await.is_err() {
-            sent.got = Got::Nothing("no whole answer in time".into());
+        let whole = self.exchange(&mut call, since);
+        if tokio::time::timeout(RESPONSE_TIMEOUT, whole).await.is_err() {
+            call.result = CallResult::Failed("no whole answer in time".into());
         }
-        sent
+        call
     }
 
-    async fn exchange(&self, sent: &mut Sent, since: Instant) {
+    async fn exchange(&self, call: &mut Call, since: Instant) {
         // A new connection for each, so that a break is never one of an idle one.
-        let mut answer = match self.pool.send_on_new(request(&sent.ask)).await {
+        let mut answer = match self.pool.send_on_new(http_request(&call.request)).await {
             Ok(answer) => answer,
             Err(e) => {
-                sent.got = Got::Nothing(e.to_string());
+                call.result = CallResult::Failed(e.to_string());
                 return;
             }
         };
         let id = answer.response.headers().get("x-request-id");
-        sent.id = id.and_then(|v| v.to_str().ok()).map(str::to_owned);
+        call.id = id.and_then(|v| v.to_str().ok()).map(str::to_owned);
         let status = answer.response.status();
-        let streamed = matches!(sent.ask.what, What::Completion { stream: true, .. });
+        let streamed = matches!(
+            call.request.kind,
+            RequestKind::Completion { stream: true, .. }
+        );
         if streamed && status.is_success() {
-            sent.got = read_stream(&mut answer, sent, since).await;
+            call.result = read_stream(&mut answer, call, since).await;
             return;
         }
-        let kept = answer
+        let replayed = answer
             .response
             .headers()
             .contains_key("idempotent-replayed");
         match read_whole(&mut answer.response).await {
             Ok(body) => {
-                sent.first = Some(since.elapsed());
-                sent.got = judge_whole(&sent.ask, status, &body, kept);
+                call.first_byte = Some(since.elapsed());
+                call.result = judge_whole(&call.request, status, &body, replayed);
             }
-            Err(why) => sent.got = Got::Nothing(why),
+            Err(why) => call.result = CallResult::Failed(why),
         }
     }
 }
 
 /// Builds a request.
-pub fn request(ask: &Ask) -> Request<Body> {
+pub fn http_request(request: &ClientRequest) -> Request<Body> {
     let req = Request::builder()
         .header("host", "entry")
-        .header("x-tenant", &ask.tenant)
-        .header("x-class", ask.class);
-    let (req, body) = match &ask.what {
-        What::Completion {
+        .header("x-tenant", &request.tenant)
+        .header("x-class", request.class);
+    let (req, body) = match &request.kind {
+        RequestKind::Completion {
             prompt,
             tokens,
             chat,
@@ -181,19 +184,23 @@
             } else {
                 body["prompt"] = serde_json::json!(prompt);
             }
-            let req = req.method("POST").uri(format!("/{}{form}", ask.service));
+            let req = req
+                .method("POST")
+                .uri(format!("/{}{form}", request.service));
             (
                 req.header("content-type", "application/json"),
                 body.to_string(),
             )
         }
-        What::Plain {
+        RequestKind::Plain {
             method,
             path,
             body,
             key,
         } => {
-            let mut req = req.method(*method).uri(format!("/{}{path}", ask.service));
+            let mut req = req
+                .method(*method)
+                .uri(format!("/{}{path}", request.service));
             if let Some(key) = key {
                 req = req.header("idempotency-key", key);
             }
@@ -204,66 +211,71 @@
 }
 
 async fn read_whole(res: &mut Response<hyper::body::Incoming>) -> Result<Vec<u8>, String> {
-    let body = http_body_util::Limited::new(res.body_mut(), MAX_ANSWER);
+    let body = http_body_util::Limited::new(res.body_mut(), MAX_RESPONSE_BYTES);
     body.collect()
         .await
         .map(|b| b.to_bytes().to_vec())
         .map_err(|e| e.to_string())
 }
 
-fn refused(body: &[u8]) -> Option<Got> {
+fn refused(body: &[u8]) -> Option<CallResult> {
     let r: Refusal = serde_json::from_slice(body).ok()?;
-    (!r.error.request_id.is_empty()).then_some(Got::Refused {
+    (!r.error.request_id.is_empty()).then_some(CallResult::Refused {
         outcome: r.error.outcome,
         reason: r.error.reason,
     })
 }
 
-fn judge_whole(ask: &Ask, status: StatusCode, body: &[u8], kept: bool) -> Got {
+fn judge_whole(
+    request: &ClientRequest,
+    status: StatusCode,
+    body: &[u8],
+    replayed: bool,
+) -> CallResult {
     if !status.is_success() {
-        let what = || Got::Nothing(format!("status {status} without a typed refusal"));
+        let what = || CallResult::Failed(format!("status {status} without a typed refusal"));
         return refused(body).unwrap_or_else(what);
     }
-    match &ask.what {
-        What::Completion { .. } => {
+    match &request.kind {
+        RequestKind::Completion { .. } => {
             let Ok(chunk) = serde_json::from_slice::<Chunk>(body) else {
-                return Got::Truncated;
+                return CallResult::Truncated;
             };
             let text: String = chunk.choices.into_iter().map(Choice::into_text).collect();
-            judge_text(ask, &text)
+            judge_text(request, &text)
         }
-        What::Plain {
+        RequestKind::Plain {
             method,
             path,
             body: asked,
             ..
         } => {
-            // What a plain service answers is its own affair, even this.
+            // RequestKind a plain service answers is its own affair, even this.
             if body == NONSENSE.as_bytes() {
-                return Got::Whole { kept };
+                return CallResult::Complete { replayed };
             }
             let Ok(got) = serde_json::from_slice::<PlainAnswer>(body) else {
-                return Got::Truncated;
+                return CallResult::Truncated;
             };
             if got.digest == answer::plain_digest(method, path, asked.as_bytes()) {
-                Got::Whole { kept }
+                CallResult::Complete { replayed }
             } else {
-                Got::Crossed
+                CallResult::Crossed
             }
         }
     }
 }
 
 /// Judges a completion's whole text.
-fn judge_text(ask: &Ask, text: &str) -> Got {
-    let What::Completion {
+fn judge_text(request: &ClientRequest, text: &str) -> CallResult {
+    let RequestKind::Completion {
         prompt,
         tokens,
         chat,
         ..
-    } = &ask.what
+    } = &request.kind
     else {
-        return Got::Crossed;
+        return CallResult::Crossed;
     };
     // The entry joins chat turns like this; the engine answers to the result.
     let prompt = if *chat {
@@ -273,15 +285,15 @@
     };
     let expected = answer::completion(&prompt, *tokens);
     if text == expected {
-        Got::Whole { kept: false }
+        CallResult::Complete { replayed: false }
     } else if expected.starts_with(text) {
-        Got::Truncated
+        CallResult::Truncated
     } else {
-        Got::Crossed
+        CallResult::Crossed
     }
 }
 
-async fn read_stream(answer: &mut PooledResponse, sent: &mut Sent, since: Instant) -> Got {
+async fn read_stream(answer: &mut PooledResponse, call: &mut Call, since: Instant) -> CallResult {
     let mut events = EventReader::default();
     let mut text = String::new();
     let mut last: Option<Instant> = None;
@@ -296,16 +308,17 @@
                     continue;
                 }
                 // No end of its own: whoever reads it sees that it isn't whole.
-                Some(Err(e)) => return Got::Nothing(e.to_string()),
-                None => return Got::Nothing("stream without an end".into()),
+                Some(Err(e)) => return CallResult::Failed(e.to_string()),
+                None => return CallResult::Failed("stream without an end".into()),
             },
-            Err(_) => return Got::Nothing("not server-sent events".into()),
+            Err(_) => return CallResult::Failed("not server-sent events".into()),
         };
         if data.as_ref() == b"[DONE]" {
-            return judge_text(&sent.ask, &text);
+            return judge_text(&call.request, &text);
         }
         let Ok(chunk) = serde_json::from_slice::<Chunk>(&data) else {
-            return refused(&data).unwrap_or(Got::Nothing("neither chunk nor refusal".into()));
+            return refused(&data)
+                .unwrap_or(CallResult::Failed("neither chunk nor refusal".into()));
         };
         let new: String = chunk.choices.into_iter().map(Choice::into_text).collect();
         if new.is_empty() {
@@ -314,9 +327,9 @@
         text.push_str(&new);
         let now = Instant::now();
         if let Some(last) = last {
-            sent.gaps.push(now - last);
+            call.token_gaps.push(now - last);
         }
         last = Some(now);
-        sent.first.get_or_insert(now - since);
+        call.first_byte.get_or_insert(now - since);
     }
 }
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -1,7 +1,7 @@
 //! `demo`: both deployments under a mixed load, with an agent killed and another drained.
 
-use crate::caller::{Caller, Sent};
 use crate::check::History;
+use crate::client::{Call, Client};
 use crate::deploy::{ALL, Deployment};
 use crate::gather::read_standins;
 use crate::judge::{Verdict, judge};
@@ -14,11 +14,11 @@
 use tokio::task::JoinSet;
 
 /// Requests a second of each deployment.
-const RATE: u32 = 40;
+const REQUESTS_PER_S: u32 = 40;
 /// How long the load goes on.
-const LENGTH: Duration = Duration::from_secs(14);
+const LOAD_DURATION: Duration = Duration::from_secs(14);
 /// Seed of the mix.
-const SEED: u64 = 1;
+const MIX_SEED: u64 = 1;
 
 /// Runs the demo; gives the verdict over both deployments.
 pub async fn run() -> io::Result<Verdict> {
@@ -26,7 +26,7 @@
     let mut parts = JoinSet::new();
     for deployment in ALL {
         let options = Options::new(binary.clone(), deployment);
-        parts.spawn(one(deployment, options));
+        parts.spawn(run_deployment(deployment, options));
     }
     let mut verdict = Verdict::default();
     while let Some(part) = parts.join_next().await {
@@ -35,21 +35,27 @@
     Ok(verdict)
 }
 
-async fn one(deployment: Deployment, options: Options) -> io::Result<Verdict> {
+async fn run_deployment(deployment: Deployment, options: Options) -> io::Result<Verdict> {
     let mut site = Site::start(deployment, options).await?;
     println!(
         "{}: {} processes ready",
         deployment.name(),
         site.workers.len() + site.entries.len()
     );
-    let callers = tokio::spawn(load(deployment, site.entry_addrs(), RATE, LENGTH, SEED));
-    disturb(&mut site).await?;
-    let sent = callers.await.map_err(io::Error::other)?;
+    let clients = tokio::spawn(run_load(
+        deployment,
+        site.entry_addrs(),
+        REQUESTS_PER_S,
+        LOAD_DURATION,
+        MIX_SEED,
+    ));
+    inject_faults(&mut site).await?;
+    let calls = clients.await.map_err(io::Error::other)?;
     let status = site.command(&["status"]).await?;
     println!("{}{}", status.stdout, status.stderr);
     site.stop().await?;
     let mut history = History {
-        sent,
+        calls,
         ..History::default()
     };
     read_standins(&site, &mut history);
@@ -59,7 +65,7 @@
 }
 
 /// Kills an agent and starts it again, and drains another.
-async fn disturb(site: &mut Site) -> io::Result<()> {
+async fn inject_faults(site: &mut Site) -> io::Result<()> {
     let engine = |w: &crate::site::Worker| matches!(w.standin, UpstreamStandin::Engine(_));
     let engines: Vec<usize> = (0..site.workers.len())
         .filter(|i| engine(&site.workers[*i]))
@@ -70,13 +76,13 @@
     let (Some(&killed), Some(&drained)) = (engines.first(), engines.last()) else {
         return Ok(());
     };
-    tokio::time::sleep(LENGTH / 5).await;
+    tokio::time::sleep(LOAD_DURATION / 5).await;
     println!("killing {}", site.workers[killed].agent.name);
     site.workers[killed].agent.kill().await?;
-    tokio::time::sleep(LENGTH / 10).await;
+    tokio::time::sleep(LOAD_DURATION / 10).await;
     println!("restarting {}", site.workers[killed].agent.name);
     site.restart_agent(killed)?;
-    tokio::time::sleep(LENGTH / 10).await;
+    tokio::time::sleep(LOAD_DURATION / 10).await;
     println!("draining {}", site.workers[drained].agent.name);
     site.workers[drained].agent.stop().await?;
     println!("{} has ended", site.workers[drained].agent.name);
@@ -89,35 +95,35 @@
 }
 
 /// An open load: requests begin at their time whatever becomes of those before.
-pub async fn load(
+pub async fn run_load(
     deployment: Deployment,
     entries: Vec<SocketAddr>,
     rate: u32,
     length: Duration,
     seed: u64,
-) -> Vec<Sent> {
-    let callers: Vec<Caller> = entries.into_iter().map(Caller::new).collect();
+) -> Vec<Call> {
+    let clients: Vec<Client> = entries.into_iter().map(Client::new).collect();
     let mut mix = Mix::new(deployment, seed);
     let mut clock = tokio::time::interval(Duration::from_secs(1) / rate);
-    let mut calls = JoinSet::new();
+    let mut tasks = JoinSet::new();
     let until = tokio::time::Instant::now() + length;
     let mut n = 0;
     while clock.tick().await < until {
-        let caller = callers[n % callers.len()].clone();
+        let client = clients[n % clients.len()].clone();
         n += 1;
-        let ask = mix.draw();
-        calls.spawn(async move { caller.send(ask).await });
+        let request = mix.next_request();
+        tasks.spawn(async move { client.send(request).await });
     }
-    let mut sent = Vec::new();
-    while let Some(call) = calls.join_next().await {
-        // A caller that panicked is a fault of the bench, and would be a missing request.
-        sent.push(call.expect("callers don't panic"));
+    let mut calls = Vec::new();
+    while let Some(call) = tasks.join_next().await {
+        // A client that panicked is a fault of the bench, and would be a missing request.
+        calls.push(call.expect("clients don't panic"));
     }
-    sent
+    calls
 }
 
 /// Prints the services' reports; gives the requests that no report has.
-async fn print_reports(site: &Site, sent: u64) -> io::Result<u64> {
+async fn print_reports(site: &Site, calls: u64) -> io::Result<u64> {
     let mut reported = 0;
     for doc in &site.docs {
         let table = site.command(&["report", "--service", &doc.service]).await?;
@@ -128,5 +134,5 @@
         let report: serde_json::Value = serde_json::from_str(&json.stdout)?;
         reported += report["all"]["requests"].as_u64().unwrap_or(0);
     }
-    Ok(sent.saturating_sub(reported))
+    Ok(calls.saturating_sub(reported))
 }
--- a/crates/bench/src/deploy.rs
+++ b/crates/bench/src/deploy.rs
@@ -6,7 +6,7 @@
 use std::ops::RangeInclusive;
 
 /// Part of loopback addresses that the sample documents use, as text.
-const SAMPLE_NETS: [&str; 2] = ["127.11.", "127.12."];
+const SAMPLE_PREFIXES: [&str; 2] = ["127.11.", "127.12."];
 /// Port on which entries and agents listen.
 const MAIN_PORT: u16 = 7000;
 /// Port of health and metrics.
@@ -19,7 +19,7 @@
 const LOCK_PORT: u16 = 6999;
 /// Parts of the loopback addresses that tests draw from.
 // Below are the demo, the soak, and tests that take fixed parts of 127.0.0.0/8.
-const FREE_NETS: RangeInclusive<u8> = 128..=220;
+const RESERVABLE_SUBNETS: RangeInclusive<u8> = 128..=220;
 /// Port of the platform's services.
 const PLATFORM_PORT: u16 = 7100;
 
@@ -50,7 +50,7 @@
     }
 
     /// Second number of its loopback addresses, if no other is given.
-    pub fn net(self) -> u8 {
+    pub fn subnet(self) -> u8 {
         match self {
             Self::Sleutelbos => 11,
             Self::BlueMahoe => 12,
@@ -80,10 +80,10 @@
 
     /// Its documents' texts on a part of the loopback addresses: the service
     /// with engines first, then the plain one, with at most so many workers each.
-    pub fn documents(self, net: u8, workers: usize) -> [String; 2] {
-        let own = format!("127.{net}.");
+    pub fn documents(self, subnet: u8, workers: usize) -> [String; 2] {
+        let own = format!("127.{subnet}.");
         let moved = |t: &str| {
-            SAMPLE_NETS
+            SAMPLE_PREFIXES
                 .iter()
                 .fold(t.to_owned(), |t, s| t.replace(s, &own))
         };
@@ -91,50 +91,50 @@
     }
 
     /// Its documents.
-    pub fn docs(self, net: u8, workers: usize) -> [Doc; 2] {
+    pub fn docs(self, subnet: u8, workers: usize) -> [Doc; 2] {
         let parse = |t: String| Doc::parse(&t).expect("samples are valid; a test reads them");
-        self.documents(net, workers).map(parse)
+        self.documents(subnet, workers).map(parse)
     }
 }
 
-fn addr(net: u8, part: u8, number: u8, port: u16) -> SocketAddr {
-    SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, net, part, number)), port)
+fn addr(subnet: u8, part: u8, number: u8, port: u16) -> SocketAddr {
+    SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, subnet, part, number)), port)
 }
 
 /// Where the entry of a number (from 0) listens.
-pub fn entry_addr(net: u8, number: usize) -> SocketAddr {
-    addr(net, 1, number as u8 + 1, MAIN_PORT)
+pub fn entry_addr(subnet: u8, number: usize) -> SocketAddr {
+    addr(subnet, 1, number as u8 + 1, MAIN_PORT)
 }
 
 /// Where the table service is.
-pub fn table_addr(net: u8) -> SocketAddr {
-    addr(net, 2, 1, PLATFORM_PORT)
+pub fn table_addr(subnet: u8) -> SocketAddr {
+    addr(subnet, 2, 1, PLATFORM_PORT)
 }
 
 /// Where the object store is.
-pub fn objects_addr(net: u8) -> SocketAddr {
-    addr(net, 2, 2, PLATFORM_PORT)
+pub fn objects_addr(subnet: u8) -> SocketAddr {
+    addr(subnet, 2, 2, PLATFORM_PORT)
 }
 
 /// Where the host list is.
-pub fn hosts_addr(net: u8) -> SocketAddr {
-    addr(net, 2, 3, PLATFORM_PORT)
+pub fn hosts_addr(subnet: u8) -> SocketAddr {
+    addr(subnet, 2, 3, PLATFORM_PORT)
 }
 
 /// The admin address of the process at an address.
-pub fn admin_of(mut main: SocketAddr) -> SocketAddr {
+pub fn admin_addr(mut main: SocketAddr) -> SocketAddr {
     main.set_port(ADMIN_PORT);
     main
 }
 
 /// Where an agent listens whose own address is a relay's.
-pub fn behind_relay(mut agent: SocketAddr) -> SocketAddr {
+pub fn relayed_agent_addr(mut agent: SocketAddr) -> SocketAddr {
     agent.set_port(RELAYED_PORT);
     agent
 }
 
 /// The upstream behind the agent at an address.
-pub fn upstream_of(mut agent: SocketAddr) -> SocketAddr {
+pub fn upstream_addr(mut agent: SocketAddr) -> SocketAddr {
     agent.set_port(UPSTREAM_PORT);
     agent
 }
@@ -154,13 +154,13 @@
 }
 
 /// A part of the loopback addresses that no other run uses, while the lock lives.
-pub fn free_net() -> io::Result<(u8, TcpListener)> {
+pub fn reserve_subnet() -> io::Result<(u8, TcpListener)> {
     let first = fastrand::u8(..);
     for step in 0..=u8::MAX {
-        let net =
-            FREE_NETS.start() + first.wrapping_add(step) % (FREE_NETS.end() - FREE_NETS.start());
-        if let Ok(lock) = TcpListener::bind(addr(net, 250, 1, LOCK_PORT)) {
-            return Ok((net, lock));
+        let subnet = RESERVABLE_SUBNETS.start()
+            + first.wrapping_add(step) % (RESERVABLE_SUBNETS.end() - RESERVABLE_SUBNETS.start());
+        if let Ok(lock) = TcpListener::bind(addr(subnet, 250, 1, LOCK_PORT)) {
+            return Ok((subnet, lock));
         }
     }
     Err(io::Error::other(
--- a/crates/bench/src/driver.rs
+++ b/crates/bench/src/driver.rs
@@ -1,9 +1,9 @@
 //! Carries a schedule of faults out on a site, and notes whom it excuses.
 
-use crate::check::{Accepted, Excused, History, Leaving};
+use crate::check::{AcceptedDocument, ExemptPeriod, History, LeavingPeriod};
 use crate::edit;
 use crate::procs::Signal;
-use crate::schedule::{Fault, Planned};
+use crate::schedule::{Fault, ScheduledFault};
 use crate::site::{Site, UpstreamStandin};
 use fakes::Faults;
 use fakes::clock::now_ms;
@@ -14,25 +14,25 @@
 use store::HostState;
 use tokio::task::JoinHandle;
 
-/// What a process needs after a start or a pause before it is judged, in milliseconds.
-const START_MS: u64 = 3_000;
-/// What the host list may lag over its setting.
-const SLACK: Duration = Duration::from_millis(200);
+/// RequestKind a process needs after a start or a pause before it is judged, in milliseconds.
+const RECOVERY_GRACE_MS: u64 = 3_000;
+/// RequestKind the host list may lag over its setting.
+const HOST_LIST_SLACK: Duration = Duration::from_millis(200);
 
 /// Carries a schedule out.
 pub struct Driver<'a> {
     site: &'a mut Site,
     history: Arc<Mutex<History>>,
-    edits: Vec<JoinHandle<()>>,
+    edit_tasks: Vec<JoinHandle<()>>,
     /// Faults whose process was told to stop and is to be started again once it
     /// has ended. Other faults begin and end meanwhile: it may be waiting for one.
     stopping: Vec<Fault>,
 }
 
 /// One end of a fault.
-struct Action<'a> {
+struct ScheduleStep<'a> {
     at_ms: u64,
-    planned: &'a Planned,
+    planned: &'a ScheduledFault,
     begins: bool,
 }
 
@@ -42,32 +42,32 @@
         Self {
             site,
             history,
-            edits: Vec::new(),
+            edit_tasks: Vec::new(),
             stopping: Vec::new(),
         }
     }
 
     /// Carries a schedule out; prints each fault as it happens.
-    pub async fn drive(&mut self, schedule: &[Planned]) -> io::Result<()> {
-        let mut actions: Vec<Action<'_>> = Vec::new();
+    pub async fn drive(&mut self, schedule: &[ScheduledFault]) -> io::Result<()> {
+        let mut steps: Vec<ScheduleStep<'_>> = Vec::new();
         for planned in schedule {
-            actions.push(Action {
+            steps.push(ScheduleStep {
                 at_ms: planned.from_ms,
                 planned,
                 begins: true,
             });
-            actions.push(Action {
+            steps.push(ScheduleStep {
                 at_ms: planned.until_ms,
                 planned,
                 begins: false,
             });
         }
-        actions.sort_by_key(|a| (a.at_ms, a.begins));
+        steps.sort_by_key(|a| (a.at_ms, a.begins));
         let start = now_ms();
-        for a in actions {
+        for a in steps {
             let wait = (start + a.at_ms).saturating_sub(now_ms());
             tokio::time::sleep(Duration::from_millis(wait)).await;
-            self.start_ended(false).await?;
+            self.restart_ended(false).await?;
             if a.begins {
                 let lasts = a.planned.until_ms - a.planned.from_ms;
                 println!("{:>6} ms: {:?} for {lasts} ms", a.at_ms, a.planned.fault);
@@ -76,8 +76,8 @@
                 self.end(&a.planned.fault).await?;
             }
         }
-        self.start_ended(true).await?;
-        for edit in self.edits.drain(..) {
+        self.restart_ended(true).await?;
+        for edit in self.edit_tasks.drain(..) {
             edit.await.map_err(io::Error::other)?;
         }
         Ok(())
@@ -88,7 +88,7 @@
             Fault::KillAgent(at) => drop(self.site.workers[*at].agent.kill().await?),
             Fault::StopAgent(at) => self.site.workers[*at].agent.signal(Signal::Term),
             Fault::PauseAgent(at) => self.site.workers[*at].agent.signal(Signal::Pause),
-            Fault::CutAgent(at) => self.cut(*at, true),
+            Fault::CutAgent(at) => self.set_partitioned(*at, true),
             Fault::KillEntry(at) => drop(self.site.entries[*at].process.kill().await?),
             Fault::StopEntry(at) => self.site.entries[*at].process.signal(Signal::Term),
             Fault::PauseEntry(at) => self.site.entries[*at].process.signal(Signal::Pause),
@@ -99,26 +99,26 @@
             Fault::Table(f) => self.site.table.gate().set(f.clone()),
             Fault::Objects(f) => self.site.objects.gate().set(f.clone()),
             Fault::Hosts(f) => self.site.hosts.gate().set(f.clone()),
-            Fault::Upstream(at, f) => self.upstream(*at, f.clone()),
-            Fault::Edit(at) => self.edit(*at),
+            Fault::Upstream(at, f) => self.set_upstream_faults(*at, f.clone()),
+            Fault::Edit(at) => self.start_edit(*at),
         }
-        self.note_begin(fault);
+        self.record_begin(fault);
         Ok(())
     }
 
     async fn end(&mut self, fault: &Fault) -> io::Result<()> {
         match fault {
-            Fault::KillAgent(at) => self.ensure_agent(*at)?,
+            Fault::KillAgent(at) => self.restart_agent_if_ended(*at)?,
             Fault::PauseAgent(at) => self.site.workers[*at].agent.signal(Signal::Resume),
-            Fault::CutAgent(at) => self.cut(*at, false),
-            Fault::KillEntry(at) => self.ensure_entry(*at)?,
+            Fault::CutAgent(at) => self.set_partitioned(*at, false),
+            Fault::KillEntry(at) => self.restart_entry_if_ended(*at)?,
             Fault::PauseEntry(at) => self.site.entries[*at].process.signal(Signal::Resume),
             Fault::LeaveHost(at) => {
                 let host = self.site.workers[*at].upstream.host.clone();
-                self.close_leaving(*at);
+                self.end_leaving_period(*at);
                 self.site.hosts.set(&host, HostState::Live);
                 // An agent that still saw the old list would drain at once.
-                tokio::time::sleep(self.site.host_lag() + SLACK).await;
+                tokio::time::sleep(self.site.host_list_lag() + HOST_LIST_SLACK).await;
                 // It drained by itself, unless it never heard of it.
                 self.site.workers[*at].agent.signal(Signal::Term);
                 self.stopping.push(fault.clone());
@@ -131,16 +131,16 @@
             Fault::Table(_) => self.site.table.gate().set(Faults::default()),
             Fault::Objects(_) => self.site.objects.gate().set(Faults::default()),
             Fault::Hosts(_) => self.site.hosts.gate().set(Faults::default()),
-            Fault::Upstream(at, _) => self.upstream(*at, Faults::default()),
+            Fault::Upstream(at, _) => self.set_upstream_faults(*at, Faults::default()),
             Fault::Edit(_) => {}
         }
-        self.note_end(fault);
+        self.record_end(fault);
         Ok(())
     }
 
     /// Starts processes again that were stopped and have ended; waits for them
     /// if `wait` is set.
-    async fn start_ended(&mut self, wait: bool) -> io::Result<()> {
+    async fn restart_ended(&mut self, wait: bool) -> io::Result<()> {
         for fault in std::mem::take(&mut self.stopping) {
             let process = match fault {
                 Fault::StopEntry(at) => &mut self.site.entries[at].process,
@@ -148,58 +148,58 @@
                 _ => continue,
             };
             if wait {
-                process.ended().await?;
+                process.wait().await?;
             }
             if !process.has_ended() {
                 self.stopping.push(fault);
                 continue;
             }
             match fault {
-                Fault::StopEntry(at) => self.ensure_entry(at)?,
-                Fault::StopAgent(at) | Fault::LeaveHost(at) => self.ensure_agent(at)?,
+                Fault::StopEntry(at) => self.restart_entry_if_ended(at)?,
+                Fault::StopAgent(at) | Fault::LeaveHost(at) => self.restart_agent_if_ended(at)?,
                 _ => {}
             }
-            self.note_end(&fault);
+            self.record_end(&fault);
         }
         Ok(())
     }
 
-    fn ensure_agent(&mut self, at: usize) -> io::Result<()> {
+    fn restart_agent_if_ended(&mut self, at: usize) -> io::Result<()> {
         if self.site.workers[at].agent.has_ended() {
             self.site.restart_agent(at)?;
         }
         Ok(())
     }
 
-    fn ensure_entry(&mut self, at: usize) -> io::Result<()> {
+    fn restart_entry_if_ended(&mut self, at: usize) -> io::Result<()> {
         if self.site.entries[at].process.has_ended() {
             self.site.restart_entry(at)?;
         }
         Ok(())
     }
 
-    fn cut(&self, at: usize, cut: bool) {
+    fn set_partitioned(&self, at: usize, partitioned: bool) {
         if let Some(relay) = &self.site.workers[at].relay {
-            relay.set_cut(cut);
+            relay.set_stalled(partitioned);
         }
     }
 
-    fn upstream(&self, at: usize, faults: Faults) {
+    fn set_upstream_faults(&self, at: usize, faults: Faults) {
         match &self.site.workers[at].standin {
             UpstreamStandin::Engine(e) => e.gate().set(faults),
             UpstreamStandin::Plain(p) => p.gate().set(faults),
         }
     }
 
-    fn edit(&mut self, at: usize) {
+    fn start_edit(&mut self, at: usize) {
         let (service, settings) = (
             self.site.docs[at].service.clone(),
             self.site.settings_file(),
         );
         let history = self.history.clone();
-        self.edits.push(tokio::spawn(async move {
+        self.edit_tasks.push(tokio::spawn(async move {
             for (version, at_ms) in edit::race(&settings, &service).await {
-                let accepted = Accepted {
+                let accepted = AcceptedDocument {
                     service: service.clone(),
                     version,
                     at_ms,
@@ -213,59 +213,59 @@
         }));
     }
 
-    fn note_begin(&self, fault: &Fault) {
+    fn record_begin(&self, fault: &Fault) {
         let mut h = self.history.lock().expect("no panic while locked");
         let from_ms = now_ms();
         let open = u64::MAX;
-        if let Some(process) = self.excused(fault) {
-            h.excused.push(Excused {
+        if let Some(process) = self.exempt_process(fault) {
+            h.exemptions.push(ExemptPeriod {
                 process,
                 from_ms,
                 until_ms: open,
             });
         }
         if let Fault::LeaveHost(at) | Fault::StopAgent(at) = fault {
-            let by_list = matches!(fault, Fault::LeaveHost(_));
+            let host_list_only = matches!(fault, Fault::LeaveHost(_));
             // The list itself says so only after its lag.
-            let lag = if by_list {
-                self.site.host_lag()
+            let lag = if host_list_only {
+                self.site.host_list_lag()
             } else {
                 Duration::ZERO
             };
-            h.leaving.push(Leaving {
+            h.leaving.push(LeavingPeriod {
                 upstream: self.site.workers[*at].upstream.name.clone(),
                 from_ms: from_ms + lag.as_millis() as u64,
-                by_list,
+                host_list_only,
                 until_ms: open,
             });
         }
         if let Fault::Hosts(_) = fault {
-            h.list_out.push((from_ms, open));
+            h.host_list_outages.push((from_ms, open));
         }
     }
 
-    fn note_end(&self, fault: &Fault) {
+    fn record_end(&self, fault: &Fault) {
         let mut h = self.history.lock().expect("no panic while locked");
         let until_ms = now_ms();
-        if let Some(process) = self.excused(fault) {
+        if let Some(process) = self.exempt_process(fault) {
             let open = h
-                .excused
+                .exemptions
                 .iter_mut()
                 .find(|e| e.process == process && e.until_ms == u64::MAX);
             if let Some(e) = open {
-                e.until_ms = until_ms + START_MS;
+                e.until_ms = until_ms + RECOVERY_GRACE_MS;
             }
         }
-        if let (Fault::Hosts(_), Some(out)) = (fault, h.list_out.last_mut()) {
+        if let (Fault::Hosts(_), Some(out)) = (fault, h.host_list_outages.last_mut()) {
             out.1 = until_ms;
         }
         drop(h);
         if let Fault::LeaveHost(at) | Fault::StopAgent(at) = fault {
-            self.close_leaving(*at);
+            self.end_leaving_period(*at);
         }
     }
 
-    fn close_leaving(&self, at: usize) {
+    fn end_leaving_period(&self, at: usize) {
         let mut h = self.history.lock().expect("no panic while locked");
         let name = &self.site.workers[at].upstream.name;
         for l in h
@@ -278,7 +278,7 @@
     }
 
     /// Whom a fault excuses from following documents: `None` for nobody.
-    fn excused(&self, fault: &Fault) -> Option<Option<String>> {
+    fn exempt_process(&self, fault: &Fault) -> Option<Option<String>> {
         match fault {
             Fault::KillAgent(at)
             | Fault::StopAgent(at)
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -1,14 +1,14 @@
 //! `faults`: a mixed load under random faults, judged by history.
 
-use crate::caller::{Caller, Got, Sent};
-use crate::check::{self, History, Sample};
-use crate::deploy::{Deployment, admin_of, free_net};
+use crate::check::{self, History, VersionSample};
+use crate::client::{Call, CallResult, Client};
+use crate::deploy::{Deployment, admin_addr, reserve_subnet};
 use crate::driver::Driver;
 use crate::gather::read_standins;
 use crate::judge::is_non_idempotent;
 use crate::mix::Mix;
 use crate::procs::build_binary;
-use crate::schedule::{Counts, draw};
+use crate::schedule::{SiteSize, generate};
 use crate::scrape::document_versions;
 use crate::site::{Options, Site};
 use fakes::clock::now_ms;
@@ -23,22 +23,22 @@
 use wire::Outcome;
 
 /// Requests a second.
-const RATE: u32 = 25;
+const REQUESTS_PER_S: u32 = 25;
 /// Time between looks at the versions in force.
-const SAMPLE: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after the last fault, for what is behind to catch up.
-const CALM_DOWN: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Workers of each service.
-const WORKERS: usize = 3;
+const WORKERS_PER_SERVICE: usize = 3;
 const LIMITS: &str = "{record_flush: 2s, linger: 300ms, lease: 3s, idle_timeout: 4s, \
                       drain_bound: 20s, host_poll: 500ms}";
 
-/// What a run counted.
+/// RequestKind a run counted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Counted {
+pub struct FaultsVerdict {
     /// The seed.
     pub seed: u64,
-    /// Requests that callers made.
+    /// Requests that clients made.
     pub requests: u64,
     /// Those that may not be repeated.
     pub non_idempotent: u64,
@@ -72,7 +72,7 @@
     pub unknown: u64,
 }
 
-impl Counted {
+impl FaultsVerdict {
     /// Violations of what must always hold.
     pub fn violations(&self) -> u64 {
         self.conflicting_orders
@@ -89,53 +89,53 @@
 }
 
 /// Runs a schedule; prints each fault as it happens.
-pub async fn run(seed: u64, seconds: u64) -> io::Result<Counted> {
+pub async fn run(seed: u64, seconds: u64) -> io::Result<FaultsVerdict> {
     let binary = build_binary().await?;
-    let (net, _lock) = free_net()?;
-    let mut site = Site::start(Deployment::Sleutelbos, options(binary, net, seed)).await?;
-    let n = Counts {
+    let (subnet, _lock) = reserve_subnet()?;
+    let mut site = Site::start(Deployment::Sleutelbos, options(binary, subnet, seed)).await?;
+    let n = SiteSize {
         workers: site.workers.len(),
         entries: site.entries.len(),
         services: site.docs.len(),
     };
-    let schedule = draw(seed, seconds * 1000, n);
+    let schedule = generate(seed, seconds * 1000, n);
     let faults = schedule.len() as u64;
-    let length = Duration::from_secs(seconds) + CALM_DOWN;
+    let length = Duration::from_secs(seconds) + SETTLE_TIME;
     let history = Arc::new(Mutex::new(History::default()));
-    let sampler = tokio::spawn(sample(targets(&site), history.clone()));
-    let callers = tokio::spawn(call(site.entry_addrs(), length, seed));
+    let sampler = tokio::spawn(sample_versions(sample_targets(&site), history.clone()));
+    let clients = tokio::spawn(send_requests(site.entry_addrs(), length, seed));
     Driver::new(&mut site, history.clone())
         .drive(&schedule)
         .await?;
-    site.ready().await?;
-    let sent = callers.await.map_err(io::Error::other)?;
+    site.wait_ready().await?;
+    let calls = clients.await.map_err(io::Error::other)?;
     sampler.abort();
     // Agents write the last ends of claims; nothing of it is judged here.
     site.stop().await?;
     let mut history = history.lock().expect("no panic while locked").clone();
-    history.sent = sent;
+    history.calls = calls;
     read_standins(&site, &mut history);
-    tell_violations(&history);
+    print_violations(&history);
     Ok(judge(seed, faults, &history))
 }
 
 /// Prints what nobody should see, to look into it.
-fn tell_violations(h: &History) {
+fn print_violations(h: &History) {
     for r in h.runs.iter().filter(|r| check::is_late_work(h, r)) {
         println!("late work at a leaving upstream: {r:?}, {:?}", h.leaving);
     }
-    let wrong = |s: &&Sent| matches!(s.got, Got::Crossed | Got::Truncated);
-    for s in h.sent.iter().filter(wrong) {
-        let what = format!("{:?}", s.ask.what);
+    let wrong = |s: &&Call| matches!(s.result, CallResult::Crossed | CallResult::Truncated);
+    for s in h.calls.iter().filter(wrong) {
+        let what = format!("{:?}", s.request.kind);
         let short: String = what.chars().take(200).collect();
-        println!("{:?} to {:?}: {} {short}", s.got, s.id, s.ask.class);
+        println!("{:?} to {:?}: {} {short}", s.result, s.id, s.request.class);
     }
 }
 
-fn options(binary: PathBuf, net: u8, seed: u64) -> Options {
+fn options(binary: PathBuf, subnet: u8, seed: u64) -> Options {
     let mut options = Options::new(binary, Deployment::Sleutelbos);
-    options.net = net;
-    options.workers = WORKERS;
+    options.subnet = subnet;
+    options.workers = WORKERS_PER_SERVICE;
     options.relays = true;
     options.limits = LIMITS.to_owned();
     // Half of the runs have engines that ignore fencing numbers.
@@ -149,24 +149,25 @@
     options
 }
 
-/// Sends the mix. A caller whose entry refuses the connection goes to another,
+/// Sends the mix. A client whose entry refuses the connection goes to another,
 /// as the platform's balancer would.
-async fn call(entries: Vec<SocketAddr>, length: Duration, seed: u64) -> Vec<Sent> {
-    let callers: Vec<Caller> = entries.into_iter().map(Caller::new).collect();
+async fn send_requests(entries: Vec<SocketAddr>, length: Duration, seed: u64) -> Vec<Call> {
+    let clients: Vec<Client> = entries.into_iter().map(Client::new).collect();
     let mut mix = Mix::new(Deployment::Sleutelbos, seed);
-    let mut clock = tokio::time::interval(Duration::from_secs(1) / RATE);
+    let mut clock = tokio::time::interval(Duration::from_secs(1) / REQUESTS_PER_S);
     let until = tokio::time::Instant::now() + length;
-    let mut calls = JoinSet::new();
+    let mut tasks = JoinSet::new();
     let mut n = 0;
     while clock.tick().await < until {
         n += 1;
-        let (callers, ask) = (callers.clone(), mix.draw());
-        calls.spawn(async move {
+        let (clients, request) = (clients.clone(), mix.next_request());
+        tasks.spawn(async move {
             let mut last = None;
-            for i in 0..callers.len() {
-                let sent = callers[(n + i) % callers.len()].send(ask.clone()).await;
-                let refused = matches!(&sent.got, Got::Nothing(why) if why.starts_with("not sent"));
-                last = Some(sent);
+            for i in 0..clients.len() {
+                let call = clients[(n + i) % clients.len()].send(request.clone()).await;
+                let refused =
+                    matches!(&call.result, CallResult::Failed(why) if why.starts_with("not sent"));
+                last = Some(call);
                 if !refused {
                     break;
                 }
@@ -174,29 +175,29 @@
             last
         });
     }
-    let mut sent = Vec::new();
-    while let Some(call) = calls.join_next().await {
-        sent.extend(call.expect("callers don't panic"));
+    let mut calls = Vec::new();
+    while let Some(call) = tasks.join_next().await {
+        calls.extend(call.expect("clients don't panic"));
     }
-    sent
+    calls
 }
 
 /// A process to be asked for its versions.
 type Target = (String, SocketAddr);
 
-fn targets(site: &Site) -> Vec<Target> {
-    let entry = |e: &crate::site::EntryProc| (e.process.name.clone(), admin_of(e.addr));
-    let agent = |w: &crate::site::Worker| (w.agent.name.clone(), admin_of(w.listen));
+fn sample_targets(site: &Site) -> Vec<Target> {
+    let entry = |e: &crate::site::EntryProcess| (e.process.name.clone(), admin_addr(e.addr));
+    let agent = |w: &crate::site::Worker| (w.agent.name.clone(), admin_addr(w.listen));
     let entries = site.entries.iter().map(entry);
     entries.chain(site.workers.iter().map(agent)).collect()
 }
 
-async fn sample(targets: Vec<Target>, history: Arc<Mutex<History>>) {
-    let one = |(process, admin): Target| {
+async fn sample_versions(targets: Vec<Target>, history: Arc<Mutex<History>>) {
+    let sample_process = |(process, admin): Target| {
         let history = history.clone();
         async move {
             loop {
-                tokio::time::sleep(SAMPLE).await;
+                tokio::time::sleep(SAMPLE_INTERVAL).await;
                 // A process that is down or paused says nothing.
                 let Ok(seen) = document_versions(admin).await else {
                     continue;
@@ -205,7 +206,7 @@
                 let mut h = history.lock().expect("no panic while locked");
                 for (service, version) in seen.versions {
                     let (process, id) = (process.clone(), seen.process);
-                    h.samples.push(Sample {
+                    h.samples.push(VersionSample {
                         process,
                         id,
                         service,
@@ -216,16 +217,16 @@
             }
         }
     };
-    let mut all: JoinSet<()> = targets.into_iter().map(one).collect();
+    let mut all: JoinSet<()> = targets.into_iter().map(sample_process).collect();
     while all.join_next().await.is_some() {}
 }
 
-fn judge(seed: u64, faults: u64, h: &History) -> Counted {
-    let got = |f: fn(&Got) -> bool| h.sent.iter().filter(|s| f(&s.got)).count() as u64;
-    Counted {
+fn judge(seed: u64, faults: u64, h: &History) -> FaultsVerdict {
+    let got = |f: fn(&CallResult) -> bool| h.calls.iter().filter(|s| f(&s.result)).count() as u64;
+    FaultsVerdict {
         seed,
-        requests: h.sent.len() as u64,
-        non_idempotent: h.sent.iter().filter(|s| is_non_idempotent(s)).count() as u64,
+        requests: h.calls.len() as u64,
+        non_idempotent: h.calls.iter().filter(|s| is_non_idempotent(s)).count() as u64,
         faults,
         conflicting_orders: check::conflicting_orders(h),
         cut_off: check::cut_off(h),
@@ -237,21 +238,21 @@
         late_work_to_leaving: check::late_work_to_leaving(h),
         config_reverts: check::config_reverts(h),
         config_late: check::config_late(h),
-        answered: got(|g| matches!(g, Got::Whole { .. })),
+        answered: got(|g| matches!(g, CallResult::Complete { .. })),
         not_run: got(|g| {
             matches!(
                 g,
-                Got::Refused {
+                CallResult::Refused {
                     outcome: Outcome::NotRun,
                     ..
                 }
             )
         }),
-        unknown: got(|g| matches!(g, Got::Nothing(_)))
+        unknown: got(|g| matches!(g, CallResult::Failed(_)))
             + got(|g| {
                 matches!(
                     g,
-                    Got::Refused {
+                    CallResult::Refused {
                         outcome: Outcome::Unknown,
                         ..
                     }
--- a/crates/bench/src/gateway.rs
+++ b/crates/bench/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway costs: processor time a request, and the time it adds over
+//! RequestKind a gateway costs: processor time a request, and the time it adds over
 //! calling the same worker straight, interleaved in one run.
 
 use crate::procs::{Proc, build_binary};
@@ -15,16 +15,16 @@
 /// Where the gateway and its stand-ins listen.
 const HOST: Ipv4Addr = Ipv4Addr::new(127, 67, 0, 1);
 /// Events of a streamed answer, as in the users' prompts with short answers.
-const EVENTS: u64 = 2;
+const STREAM_EVENTS: u64 = 2;
 /// Requests before the measurement, so that connections are open.
 const WARM_UP: usize = 200;
 /// Longest wait for the gateway's first answer.
-const START_BOUND: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Figures of one kind of request.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figures {
-    /// What was sent.
+    /// RequestKind was sent.
     pub kind: &'static str,
     /// Requests through the gateway; as many went straight.
     pub requests: usize,
@@ -45,7 +45,7 @@
     let store = Store::start(at(7003))?;
     store.put(CONFIG.0, CONFIG.1, &config(1, &routes()));
     let upstream = Worker::start(at(7100), "i-0").await?;
-    upstream.usually(Act::Serve(EVENTS));
+    upstream.usually(Act::Serve(STREAM_EVENTS));
     let row = worker("plain", upstream.addr, "ready", None);
     store.put(WORKERS, "i-0", &row);
     let dir = std::env::temp_dir().join(format!("bench-gateway-{}", std::process::id()));
@@ -53,13 +53,13 @@
     let file = dir.join("edge.toml");
     std::fs::write(&file, settings("edge", HOST, store.addr))?;
     let mut proc = Proc::start_gateway(&build_binary().await?, "edge", &file)?;
-    wait_served(at(7000)).await?;
+    wait_serving(at(7000)).await?;
     let load = Load {
         requests,
         body: "x".repeat(body),
     };
     if has_suspect {
-        end_under_one(&upstream, at(7000)).await?;
+        break_one_request(&upstream, at(7000)).await?;
     }
     let mut out = Vec::new();
     for (kind, path) in [("plain", "/unsafe/"), ("stream of 2 events", "/resumable/")] {
@@ -69,34 +69,34 @@
     Ok(out)
 }
 
-/// What is sent.
+/// RequestKind is sent.
 struct Load {
     requests: usize,
     body: String,
 }
 
 /// Lets the upstream break off one request, which the gateway takes for its end.
-async fn end_under_one(upstream: &Worker, gateway: SocketAddr) -> io::Result<()> {
-    const JUDGED: Duration = Duration::from_millis(500);
+async fn break_one_request(upstream: &Worker, gateway: SocketAddr) -> io::Result<()> {
+    const SETTLE_TIME: Duration = Duration::from_millis(500);
     upstream.script([Act::Close]);
     let mut tcp = TcpStream::connect(gateway).await?;
-    ask(&mut tcp, "/unsafe/suspect", "x").await?;
-    tokio::time::sleep(JUDGED).await;
+    exchange(&mut tcp, "/unsafe/suspect", "x").await?;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(())
 }
 
-async fn wait_served(at: SocketAddr) -> io::Result<()> {
-    const PAUSE: Duration = Duration::from_millis(20);
-    let until = Instant::now() + START_BOUND;
+async fn wait_serving(at: SocketAddr) -> io::Result<()> {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    let until = Instant::now() + START_TIMEOUT;
     while Instant::now() < until {
         let served = async {
             let mut tcp = TcpStream::connect(at).await?;
-            ask(&mut tcp, "/safe/", "x").await
+            exchange(&mut tcp, "/safe/", "x").await
         };
         if served.await.is_ok_and(|s| s.contains(" 200 ")) {
             return Ok(());
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Err(io::Error::other("the gateway doesn't serve"))
 }
@@ -115,17 +115,17 @@
         tcp.set_nodelay(true)?;
     }
     for _ in 0..WARM_UP {
-        ask(&mut through, path, &load.body).await?;
+        exchange(&mut through, path, &load.body).await?;
     }
-    let used = || proc.id().and_then(usage::of).unwrap_or_default();
+    let used = || proc.id().and_then(usage::read).unwrap_or_default();
     let before = used();
     let mut times = (Vec::new(), Vec::new());
     for _ in 0..load.requests {
         let since = Instant::now();
-        ask(&mut through, path, &load.body).await?;
+        exchange(&mut through, path, &load.body).await?;
         times.0.push(since.elapsed());
         let since = Instant::now();
-        ask(&mut straight, path, &load.body).await?;
+        exchange(&mut straight, path, &load.body).await?;
         times.1.push(since.elapsed());
     }
     let after = used();
@@ -146,7 +146,7 @@
 }
 
 /// Sends a request and reads its answer, by length or to the last chunk.
-async fn ask(tcp: &mut TcpStream, path: &str, body: &str) -> io::Result<String> {
+async fn exchange(tcp: &mut TcpStream, path: &str, body: &str) -> io::Result<String> {
     let id = format!("{:016x}", fastrand::u64(..));
     tcp.write_all(request("POST", path, &id, "", body).as_bytes())
         .await?;
--- a/crates/bench/src/gather.rs
+++ b/crates/bench/src/gather.rs
@@ -1,6 +1,6 @@
 //! Gathers what the stand-ins saw into a history.
 
-use crate::check::{History, RunSeen};
+use crate::check::{History, ObservedRun};
 use crate::site::{Site, UpstreamStandin};
 
 /// Reads the histories of a site's stand-ins.
@@ -15,7 +15,7 @@
                     .extend(seen.orders.into_iter().map(|o| (name.clone(), o)));
                 for r in seen.runs {
                     let request = r.id.split_once('-').map_or("", |(id, _)| id).to_owned();
-                    h.runs.push(RunSeen {
+                    h.runs.push(ObservedRun {
                         upstream: name.clone(),
                         service: w.service.clone(),
                         request,
@@ -30,7 +30,7 @@
                 for r in p.history() {
                     let (method, path) = r.call.split_once(' ').unwrap_or(("", ""));
                     let class = doc.and_then(|d| Some(d.class(d.class_by_route(method, path)?)));
-                    h.runs.push(RunSeen {
+                    h.runs.push(ObservedRun {
                         upstream: name.clone(),
                         service: w.service.clone(),
                         request: r.request,
--- a/crates/bench/src/inforce.rs
+++ b/crates/bench/src/inforce.rs
@@ -1,6 +1,6 @@
 //! `inforce`: the time from `apply` until a document is in force everywhere.
 
-use crate::deploy::{Deployment, admin_of, free_net};
+use crate::deploy::{Deployment, admin_addr, reserve_subnet};
 use crate::procs::build_binary;
 use crate::scrape::document_versions;
 use crate::site::{Options, Site};
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// Time between looks at a process.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for a document to be in force.
-const BOUND: Duration = Duration::from_secs(60);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What was measured.
+/// RequestKind was measured.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Measured {
     /// Changes made.
@@ -34,27 +34,27 @@
 /// Applies changes one after another with the default polls and no requests, so
 /// that nothing but the polls brings documents to processes.
 pub async fn run(changes: u32) -> io::Result<Measured> {
-    let (net, _lock) = free_net()?;
+    let (subnet, _lock) = reserve_subnet()?;
     let mut options = Options::new(build_binary().await?, Deployment::Sleutelbos);
-    options.net = net;
+    options.subnet = subnet;
     options.limits = "{linger: 100ms}".to_owned();
     let mut site = Site::start(Deployment::Sleutelbos, options).await?;
     let doc = site.docs[1].clone();
     let text = site.documents()[1].clone();
-    let mut admins: Vec<SocketAddr> = site.entries.iter().map(|e| admin_of(e.addr)).collect();
+    let mut admins: Vec<SocketAddr> = site.entries.iter().map(|e| admin_addr(e.addr)).collect();
     let own = site.workers.iter().filter(|w| w.service == doc.service);
-    admins.extend(own.map(|w| admin_of(w.upstream.agent)));
-    let mut version = applied(&site.apply(&doc.service, &text, 0).await?.stderr);
+    admins.extend(own.map(|w| admin_addr(w.upstream.agent)));
+    let mut version = parse_version(&site.apply(&doc.service, &text, 0).await?.stderr);
     let mut times = Vec::new();
     let before = site.table.history().reads;
     let begun = Instant::now();
     for n in 0..changes {
         let text = format!("{text}# change {n}\n");
         let out = site.apply(&doc.service, &text, version).await?;
-        version = applied(&out.stdout);
+        version = parse_version(&out.stdout);
         let since = Instant::now();
         for admin in &admins {
-            in_force(*admin, &doc.service, version).await?;
+            wait_in_force(*admin, &doc.service, version).await?;
         }
         times.push(since.elapsed().as_millis() as u64);
     }
@@ -74,7 +74,7 @@
 }
 
 /// The version in what `apply` said, whether it was accepted or refused.
-fn applied(text: &str) -> u64 {
+fn parse_version(text: &str) -> u64 {
     let mut words = text
         .split_whitespace()
         .skip_while(|w| *w != "version")
@@ -82,14 +82,14 @@
     words.next().and_then(|w| w.parse().ok()).unwrap_or(0)
 }
 
-async fn in_force(admin: SocketAddr, service: &str, version: u64) -> io::Result<()> {
-    let until = Instant::now() + BOUND;
+async fn wait_in_force(admin: SocketAddr, service: &str, version: u64) -> io::Result<()> {
+    let until = Instant::now() + IN_FORCE_TIMEOUT;
     while Instant::now() < until {
         let seen = document_versions(admin).await?.versions;
         if seen.iter().any(|(s, v)| s == service && *v >= version) {
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Err(io::Error::other("a document didn't come into force"))
 }
--- a/crates/bench/src/judge.rs
+++ b/crates/bench/src/judge.rs
@@ -1,8 +1,8 @@
-//! Compares what callers got with what upstreams saw. The product is not asked.
+//! Compares what clients got with what upstreams saw. The product is not asked.
 
-use crate::caller::{Got, Sent};
 use crate::check::{self, History};
-use crate::mix::What;
+use crate::client::{Call, CallResult};
+use crate::mix::RequestKind;
 use conf::Doc;
 use serde::Serialize;
 use wire::Outcome;
@@ -10,7 +10,7 @@
 /// Counts of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Requests that callers made.
+    /// Requests that clients made.
     pub requests: u64,
     /// Answered in whole, begun within the deadline.
     pub served: u64,
@@ -28,7 +28,7 @@
     pub double_runs: u64,
     /// Requests refused as not run that ran.
     pub false_not_run: u64,
-    /// Requests that callers made and no report has.
+    /// Requests that clients made and no report has.
     pub lost_records: u64,
 }
 
@@ -56,37 +56,37 @@
 /// Judges a run by the same rules as the faults bench.
 pub fn judge(h: &History, docs: &[Doc]) -> Verdict {
     let mut v = Verdict {
-        requests: h.sent.len() as u64,
+        requests: h.calls.len() as u64,
         crossed: check::crossed(h),
         truncated: check::truncated(h),
         double_runs: check::double_runs(h),
         false_not_run: check::false_not_run(h),
         ..Verdict::default()
     };
-    for s in &h.sent {
-        match &s.got {
-            Got::Whole { .. } if is_late(s, docs) => v.delayed += 1,
-            Got::Whole { .. } => v.served += 1,
-            Got::Refused {
+    for s in &h.calls {
+        match &s.result {
+            CallResult::Complete { .. } if is_late(s, docs) => v.delayed += 1,
+            CallResult::Complete { .. } => v.served += 1,
+            CallResult::Refused {
                 outcome: Outcome::NotRun,
                 ..
             } => v.refused += 1,
-            Got::Refused { .. } | Got::Nothing(_) => v.unknown += 1,
-            Got::Truncated | Got::Crossed => {}
+            CallResult::Refused { .. } | CallResult::Failed(_) => v.unknown += 1,
+            CallResult::Truncated | CallResult::Crossed => {}
         }
     }
     v
 }
 
-fn is_late(s: &Sent, docs: &[Doc]) -> bool {
-    let doc = docs.iter().find(|d| d.service == s.ask.service);
-    let class = doc.and_then(|d| Some(d.class(d.class_by_name(s.ask.class)?)));
+fn is_late(s: &Call, docs: &[Doc]) -> bool {
+    let doc = docs.iter().find(|d| d.service == s.request.service);
+    let class = doc.and_then(|d| Some(d.class(d.class_by_name(s.request.class)?)));
     class
-        .zip(s.first)
+        .zip(s.first_byte)
         .is_some_and(|(c, first)| first > c.deadline)
 }
 
 /// Whether a request is a non-idempotent call of the mix.
-pub fn is_non_idempotent(s: &Sent) -> bool {
-    matches!(&s.ask.what, What::Plain { method: "POST", .. })
+pub fn is_non_idempotent(s: &Call) -> bool {
+    matches!(&s.request.kind, RequestKind::Plain { method: "POST", .. })
 }
--- a/crates/bench/src/keys.rs
+++ b/crates/bench/src/keys.rs
@@ -1,4 +1,4 @@
-//! What tenants cost a gateway: decoding a version of the configuration, preparing it for
+//! RequestKind tenants cost a gateway: decoding a version of the configuration, preparing it for
 //! lookup, looking a key up, and telling and reporting usage.
 
 use crate::usage;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Keys of a tenant.
-const KEYS_EACH: usize = 2;
+const KEYS_PER_TENANT: usize = 2;
 /// Lookups that are timed.
 const LOOKUPS: usize = 1_000_000;
 /// Tenants of the answer about usage that is measured.
@@ -22,7 +22,7 @@
 /// Versions that are put in force one after the other.
 const RELOADS: u32 = 20;
 
-/// What was measured.
+/// RequestKind was measured.
 #[derive(Debug, Clone, Serialize)]
 pub struct Measured {
     /// Tenants.
@@ -71,17 +71,17 @@
     let keys: Vec<String> = (0..LOOKUPS)
         .map(|_| key(fastrand::usize(..tenants), 1, 0))
         .collect();
-    let tenants_in_force = tables.last().and_then(RouteTable::tenants);
+    let tenant_table = tables.last().and_then(RouteTable::tenants);
     let since = Instant::now();
     for key in &keys {
-        let found = tenants_in_force.and_then(|t| t.holder(ApiKey::new(key.as_bytes())));
+        let found = tenant_table.and_then(|t| t.holder(ApiKey::new(key.as_bytes())));
         black_box(found);
     }
     let lookup = since.elapsed();
     let each_ms = |d: Duration| d.as_secs_f64() * 1000.0 / f64::from(RELOADS);
     Ok(Measured {
         tenants,
-        keys: tenants * KEYS_EACH,
+        keys: tenants * KEYS_PER_TENANT,
         config_bytes,
         decode_ms: each_ms(decode),
         prepare_ms: each_ms(prepare),
@@ -96,25 +96,25 @@
 /// Bytes of an answer with one request for each of so many tenants.
 fn answer_bytes(tenants: usize) -> usize {
     let now = Instant::now();
-    let mut begun = RequestLog::new(u32::MAX, || 1_800_000_000_000);
+    let mut log = RequestLog::new(u32::MAX, || 1_800_000_000_000);
     for n in 0..tenants {
-        begun.record(now, name(n).into());
+        log.record(now, tenant_name(n).into());
     }
-    let told = begun.read_from(0, 0, u32::MAX, now + Duration::from_millis(500));
-    wire::encode_compact(&Message::Told(told)).len()
+    let answer = log.read_from(0, 0, u32::MAX, now + Duration::from_millis(500));
+    wire::encode_compact(&Message::Told(answer)).len()
 }
 
 fn report_bytes_each(tenants: usize) -> f64 {
     let counts: Vec<TenantCount> = (0..tenants)
         .map(|n| TenantCount {
-            tenant: name(n),
+            tenant: tenant_name(n),
             requests: 1,
         })
         .collect();
     UsageReport::new(0, &counts).body.len() as f64 / tenants as f64
 }
 
-fn name(n: usize) -> String {
+fn tenant_name(n: usize) -> String {
     format!("tenant-{n}")
 }
 
@@ -123,7 +123,7 @@
 fn configuration(version: u64, tenants: usize, changed: usize) -> String {
     let tenant = |n: usize| {
         let epoch = if n == changed { version } else { 0 };
-        fixture::tenant(&name(n), &[key(n, 0, epoch), key(n, 1, 0)])
+        fixture::tenant(&tenant_name(n), &[key(n, 0, epoch), key(n, 1, 0)])
     };
     let config = fixture::config(version, &fixture::routes());
     let config = fixture::with_tenants(config, (0..tenants).map(tenant).collect());
@@ -136,6 +136,6 @@
 
 /// Resident memory of this process.
 fn resident_mb() -> f64 {
-    let own = usage::of(std::process::id());
+    let own = usage::read(std::process::id());
     own.map_or(0.0, |u| u.resident as f64 / f64::from(1 << 20))
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,11 +1,10 @@
-//! What tests and the bench share: a whole system of real processes on loopback
-//! addresses with stand-ins around it, callers that check what they get, and a
-//! judge that compares the callers' histories with the stand-ins'.
+//! RequestKind tests and the bench share: a whole system of real processes on loopback
+//! addresses with stand-ins around it, clients that check what they get, and a
+//! judge that compares the clients' histories with the stand-ins'.
 
-pub mod bed;
-pub mod caller;
 pub mod capacity;
 pub mod check;
+pub mod client;
 pub mod demo;
 pub mod deploy;
 pub mod driver;
@@ -27,5 +26,6 @@
 pub mod scrape;
 pub mod site;
 pub mod slopes;
+pub mod testbed;
 pub mod up;
 pub mod usage;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -4,9 +4,9 @@
 //! kinds are spread over the same time and the same engines, so that what the
 //! machine does meanwhile falls on both alike.
 
-use crate::caller::{Caller, Got, Sent};
-use crate::deploy::{Deployment, entry_addr, upstream_of};
-use crate::mix::{Ask, What};
+use crate::client::{Call, CallResult, Client};
+use crate::deploy::{Deployment, entry_addr, upstream_addr};
+use crate::mix::{ClientRequest, RequestKind};
 use crate::procs::build_binary;
 use crate::site::{Options, Site};
 use crate::usage;
@@ -24,13 +24,13 @@
 /// Longest time that the histograms tell apart, in microseconds.
 const MAX_US: u64 = 120_000_000;
 /// Longest wait for an engine.
-const ENGINE_BOUND: Duration = Duration::from_secs(30);
+const ENGINE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Most requests of one run.
 const MAX_REQUESTS: u64 = 200_000;
 /// Time for rates to be learned and connections to be opened, not counted.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// What to send.
+/// RequestKind to send.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
     /// Requests a second through the entry; as many go straight to engines.
@@ -71,7 +71,7 @@
     pub between_ms: Times,
 }
 
-/// What a run measured.
+/// RequestKind a run measured.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Measured {
     /// Requests a second that were answered through the entry.
@@ -80,7 +80,7 @@
     pub tokens_per_s: f64,
     /// Through the entry.
     pub through: Side,
-    /// Straight to an engine.
+    /// DirectTiming to an engine.
     pub straight: Side,
     /// Median of first token through, less that of straight.
     pub added_first_ms: f64,
@@ -94,14 +94,14 @@
     pub entry_mb: Option<f64>,
 }
 
-struct Collected {
+struct Samples {
     whole: u64,
     failed: u64,
     first: Histogram<u64>,
     between: Histogram<u64>,
 }
 
-impl Collected {
+impl Samples {
     fn new() -> Self {
         let new = || Histogram::new_with_max(MAX_US, 3).expect("valid bounds");
         Self {
@@ -147,32 +147,32 @@
 }
 
 /// Runs a load.
-pub async fn run(o: &LoadOptions) -> io::Result<Measured> {
+pub async fn run(options: &LoadOptions) -> io::Result<Measured> {
     let deployment = Deployment::Sleutelbos;
-    if !o.start {
-        let [doc, _] = deployment.docs(deployment.net(), usize::MAX);
-        return measure(o, &doc, entry_addr(deployment.net(), 0), &[], &[]).await;
+    if !options.start {
+        let [doc, _] = deployment.docs(deployment.subnet(), usize::MAX);
+        return measure(options, &doc, entry_addr(deployment.subnet(), 0), &[], &[]).await;
     }
-    let mut options = Options::new(build_binary().await?, deployment);
-    options.entries = 1;
-    let step = Duration::from_millis(o.step_ms);
-    options.rates = Rates {
+    let mut site_options = Options::new(build_binary().await?, deployment);
+    site_options.entries = 1;
+    let step = Duration::from_millis(options.step_ms);
+    site_options.rates = Rates {
         step,
         prefill_per_step: 100_000,
-        ..options.rates
+        ..site_options.rates
     };
-    let mut site = Site::start(deployment, options).await?;
+    let mut site = Site::start(deployment, site_options).await?;
     let entries: Vec<u32> = site.entries.iter().filter_map(|e| e.process.id()).collect();
     let doc = site.docs[0].clone();
     let model = site.workers.iter().filter(|w| w.service == doc.service);
     let agents: Vec<u32> = model.filter_map(|w| w.agent.id()).collect();
-    let measured = measure(o, &doc, site.entries[0].addr, &entries, &agents).await?;
+    let measured = measure(options, &doc, site.entries[0].addr, &entries, &agents).await?;
     site.stop().await?;
     Ok(measured)
 }
 
 async fn measure(
-    o: &LoadOptions,
+    options: &LoadOptions,
     doc: &Doc,
     entry: SocketAddr,
     entries: &[u32],
@@ -181,22 +181,26 @@
     let Kind::Engine(model) = &doc.kind else {
         return Err(io::Error::other("no engines"));
     };
-    let engines: Vec<SocketAddr> = doc.upstreams.iter().map(|u| upstream_of(u.agent)).collect();
-    let caller = Caller::new(entry);
-    send(o, &caller, &engines, &model.name, WARM_UP).await;
-    let before = (cpu(entries), cpu(agents));
+    let engines: Vec<SocketAddr> = doc
+        .upstreams
+        .iter()
+        .map(|u| upstream_addr(u.agent))
+        .collect();
+    let client = Client::new(entry);
+    send_requests(options, &client, &engines, &model.name, WARM_UP).await;
+    let before = (cpu_seconds(entries), cpu_seconds(agents));
     let begun = Instant::now();
-    let length = Duration::from_secs(u64::from(o.seconds));
-    let (through, straight) = send(o, &caller, &engines, &model.name, length).await;
+    let length = Duration::from_secs(u64::from(options.seconds));
+    let (through, straight) = send_requests(options, &client, &engines, &model.name, length).await;
     let took = begun.elapsed().as_secs_f64();
     let used = |ids: &[u32], before: f64| {
-        (!ids.is_empty()).then(|| (cpu(ids) - before) / took / ids.len() as f64)
+        (!ids.is_empty()).then(|| (cpu_seconds(ids) - before) / took / ids.len() as f64)
     };
     let (through_side, straight_side) = (through.side(), straight.side());
     let added = |f: fn(&Side) -> Times| f(&through_side).p50 - f(&straight_side).p50;
     Ok(Measured {
         requests_per_s: through.whole as f64 / took,
-        tokens_per_s: through.whole as f64 * f64::from(o.tokens) / took,
+        tokens_per_s: through.whole as f64 * f64::from(options.tokens) / took,
         added_first_ms: added(|s| s.first_ms),
         added_between_ms: added(|s| s.between_ms),
         through: through_side,
@@ -205,44 +209,44 @@
         agent_cores: used(agents, before.1),
         entry_mb: entries
             .first()
-            .and_then(|id| Some(usage::of(*id)?.resident as f64 / 1e6)),
+            .and_then(|id| Some(usage::read(*id)?.resident as f64 / 1e6)),
     })
 }
 
-fn cpu(ids: &[u32]) -> f64 {
+fn cpu_seconds(ids: &[u32]) -> f64 {
     ids.iter()
-        .filter_map(|id| Some(usage::of(*id)?.cpu.as_secs_f64()))
+        .filter_map(|id| Some(usage::read(*id)?.cpu.as_secs_f64()))
         .sum()
 }
 
-enum Done {
-    Through(Sent),
-    Straight(Option<Straight>),
+enum Finished {
+    Through(Call),
+    Direct(Option<DirectTiming>),
 }
 
-struct Straight {
+struct DirectTiming {
     first: Duration,
     gaps: Vec<Duration>,
 }
 
-async fn send(
-    o: &LoadOptions,
-    caller: &Caller,
+async fn send_requests(
+    options: &LoadOptions,
+    client: &Client,
     engines: &[SocketAddr],
     model: &str,
     length: Duration,
-) -> (Collected, Collected) {
-    let mut clock = tokio::time::interval(Duration::from_secs(1) / (2 * o.rate.max(1)));
+) -> (Samples, Samples) {
+    let mut clock = tokio::time::interval(Duration::from_secs(1) / (2 * options.rate.max(1)));
     let until = tokio::time::Instant::now() + length;
-    let mut calls = JoinSet::new();
+    let mut tasks = JoinSet::new();
     for n in 0..MAX_REQUESTS {
         if clock.tick().await >= until {
             break;
         }
-        let prompt = prompt(o.prompt, fastrand::u64(..));
+        let prompt = prompt(options.prompt, fastrand::u64(..));
         if n % 2 == 0 {
-            let (caller, tokens) = (caller.clone(), o.tokens);
-            let what = What::Completion {
+            let (client, tokens) = (client.clone(), options.tokens);
+            let kind = RequestKind::Completion {
                 prompt,
                 tokens,
                 chat: false,
@@ -250,25 +254,29 @@
             };
             // Spread over tenants, so that no tenant's limit is measured.
             let tenant = format!("tenant-{}", n % 500);
-            let ask = Ask {
+            let request = ClientRequest {
                 service: "taalmodel-dossier",
                 class: "reply",
                 tenant,
-                what,
+                kind,
             };
-            calls.spawn(async move { Done::Through(caller.send(ask).await) });
+            tasks.spawn(async move { Finished::Through(client.send(request).await) });
         } else {
             let engine = engines[fastrand::usize(..engines.len())];
-            let body = straight_body(prompt, model, o.tokens, n);
-            calls.spawn(async move { Done::Straight(straight(engine, &body).await) });
+            let body = direct_body(prompt, model, options.tokens, n);
+            tasks.spawn(async move { Finished::Direct(call_engine(engine, &body).await) });
         }
     }
-    let (mut through, mut direct) = (Collected::new(), Collected::new());
-    while let Some(done) = calls.join_next().await {
-        match done.expect("callers don't panic") {
-            Done::Through(s) => through.add(s.first, &s.gaps, matches!(s.got, Got::Whole { .. })),
-            Done::Straight(Some(s)) => direct.add(Some(s.first), &s.gaps, true),
-            Done::Straight(None) => direct.add(None, &[], false),
+    let (mut through, mut direct) = (Samples::new(), Samples::new());
+    while let Some(done) = tasks.join_next().await {
+        match done.expect("clients don't panic") {
+            Finished::Through(s) => through.add(
+                s.first_byte,
+                &s.token_gaps,
+                matches!(s.result, CallResult::Complete { .. }),
+            ),
+            Finished::Direct(Some(s)) => direct.add(Some(s.first), &s.gaps, true),
+            Finished::Direct(None) => direct.add(None, &[], false),
         }
     }
     (through, direct)
@@ -283,7 +291,7 @@
     text
 }
 
-fn straight_body(prompt: String, model: &str, tokens: u32, n: u64) -> CompletionBody {
+fn direct_body(prompt: String, model: &str, tokens: u32, n: u64) -> CompletionBody {
     CompletionBody {
         request_id: format!("straight{n}-1"),
         model: model.to_owned(),
@@ -295,9 +303,9 @@
     }
 }
 
-async fn straight(engine: SocketAddr, body: &CompletionBody) -> Option<Straight> {
+async fn call_engine(engine: SocketAddr, body: &CompletionBody) -> Option<DirectTiming> {
     let since = Instant::now();
-    let mut stream = engine::Client::new(engine, ENGINE_BOUND)
+    let mut stream = engine::Client::new(engine, ENGINE_TIMEOUT)
         .complete(body)
         .await
         .ok()?;
@@ -310,7 +318,7 @@
                 gaps.extend(last.replace(now).map(|l| now - l));
             }
             CompletionEvent::End(_) => {
-                return Some(Straight {
+                return Some(DirectTiming {
                     first: first?,
                     gaps,
                 });
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -28,7 +28,7 @@
     Keys(KeysArgs),
 }
 
-/// run both deployments under a mixed load, kill and drain agents, and judge what callers got
+/// run both deployments under a mixed load, kill and drain agents, and judge what clients got
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct DemoArgs {}
@@ -176,9 +176,9 @@
             Ok(true)
         }
         Command::Faults(a) => {
-            let counted = bench::faults::run(a.seed, a.seconds).await?;
-            println!("{}", serde_json::to_string(&counted)?);
-            Ok(counted.violations() == 0)
+            let verdict = bench::faults::run(a.seed, a.seconds).await?;
+            println!("{}", serde_json::to_string(&verdict)?);
+            Ok(verdict.violations() == 0)
         }
         Command::Recover(a) => {
             let measured = bench::recover::run(a.hosts, a.upstreams).await?;
@@ -198,7 +198,7 @@
             println!("{}", serde_json::to_string(&measured)?);
             Ok(true)
         }
-        Command::Capacity(_) => bench::capacity::renew().map(|()| true),
+        Command::Capacity(_) => bench::capacity::update_page().map(|()| true),
         Command::Inforce(a) => {
             let measured = bench::inforce::run(a.changes).await?;
             println!("{}", serde_json::to_string(&measured)?);
--- a/crates/bench/src/mix.rs
+++ b/crates/bench/src/mix.rs
@@ -3,22 +3,22 @@
 use crate::deploy::Deployment;
 use fastrand::Rng;
 
-/// A request as a caller makes it.
+/// A request as a client makes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The service.
     pub service: &'static str,
     /// The class.
     pub class: &'static str,
     /// The tenant.
     pub tenant: String,
-    /// What is asked for.
-    pub what: What,
+    /// RequestKind is asked for.
+    pub kind: RequestKind,
 }
 
-/// What is asked for.
+/// RequestKind is asked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum What {
+pub enum RequestKind {
     /// A completion.
     Completion {
         /// The prompt.
@@ -38,7 +38,7 @@
         path: String,
         /// The body.
         body: String,
-        /// The caller's key.
+        /// The client's key.
         key: Option<String>,
     },
 }
@@ -56,8 +56,8 @@
     deployment: Deployment,
     rng: Rng,
     salt: String,
-    made: u64,
-    last_keyed: Option<Ask>,
+    generated: u64,
+    last_keyed: Option<ClientRequest>,
 }
 
 impl Mix {
@@ -68,24 +68,30 @@
             deployment,
             rng: Rng::with_seed(seed),
             salt,
-            made: 0,
+            generated: 0,
             last_keyed: None,
         }
     }
 
     /// Draws a request.
-    pub fn draw(&mut self) -> Ask {
-        self.made += 1;
+    pub fn next_request(&mut self) -> ClientRequest {
+        self.generated += 1;
         match (self.deployment, self.rng.u32(..100)) {
-            (Deployment::Sleutelbos, 0..35) => self.read("taalmodel-dossier", "dossier", 24_000),
-            (Deployment::Sleutelbos, 35..65) => self.write("taalmodel-dossier", "reply", 40..90),
+            (Deployment::Sleutelbos, 0..35) => {
+                self.long_prompt("taalmodel-dossier", "dossier", 24_000)
+            }
+            (Deployment::Sleutelbos, 35..65) => {
+                self.long_answer("taalmodel-dossier", "reply", 40..90)
+            }
             (Deployment::Sleutelbos, 65..82) => self.lookup("ledenportaal", "/status/"),
-            (Deployment::Sleutelbos, _) => self.keyed("ledenportaal", "notice", "/notices"),
-            (Deployment::BlueMahoe, 0..35) => self.read("blend-llm", "stock", 20_000),
-            (Deployment::BlueMahoe, 35..60) => self.write("blend-llm", "note", 20..50),
+            (Deployment::Sleutelbos, _) => {
+                self.non_idempotent("ledenportaal", "notice", "/notices")
+            }
+            (Deployment::BlueMahoe, 0..35) => self.long_prompt("blend-llm", "stock", 20_000),
+            (Deployment::BlueMahoe, 35..60) => self.long_answer("blend-llm", "note", 20..50),
             (Deployment::BlueMahoe, 60..75) => self.lookup("shop-api", "/prices/"),
-            (Deployment::BlueMahoe, 75..85) => self.keyed("shop-api", "label", "/labels"),
-            (Deployment::BlueMahoe, _) => self.keyed("shop-api", "reorder", "/reorders"),
+            (Deployment::BlueMahoe, 75..85) => self.non_idempotent("shop-api", "label", "/labels"),
+            (Deployment::BlueMahoe, _) => self.non_idempotent("shop-api", "reorder", "/reorders"),
         }
     }
 
@@ -93,94 +99,104 @@
         format!("tenant-{:02}", self.rng.u64(..TENANTS))
     }
 
-    fn read(&mut self, service: &'static str, class: &'static str, bytes: usize) -> Ask {
+    fn long_prompt(
+        &mut self,
+        service: &'static str,
+        class: &'static str,
+        bytes: usize,
+    ) -> ClientRequest {
         let dossier = self.rng.u64(..DOSSIERS);
         let mut prompt = String::with_capacity(bytes + 128);
         while prompt.len() < bytes {
             let line = prompt.len();
             prompt.push_str(&format!("{} dossier {dossier} line {line}\n", self.salt));
         }
-        prompt.push_str(&format!("question {}: urgent today?", self.made));
-        let what = What::Completion {
+        prompt.push_str(&format!("question {}: urgent today?", self.generated));
+        let kind = RequestKind::Completion {
             prompt,
             tokens: 1,
             chat: false,
             stream: false,
         };
-        Ask {
+        ClientRequest {
             service,
             class,
             tenant: self.tenant(),
-            what,
+            kind,
         }
     }
 
-    fn write(
+    fn long_answer(
         &mut self,
         service: &'static str,
         class: &'static str,
         tokens: std::ops::Range<u32>,
-    ) -> Ask {
+    ) -> ClientRequest {
         let prompt = format!(
             "{} letter {}: explain where they stand",
-            self.salt, self.made
+            self.salt, self.generated
         );
         let tokens = self.rng.u32(tokens);
         let (chat, stream) = (self.rng.bool(), self.rng.u32(..4) > 0);
-        let what = What::Completion {
+        let kind = RequestKind::Completion {
             prompt,
             tokens,
             chat,
             stream,
         };
-        Ask {
+        ClientRequest {
             service,
             class,
             tenant: self.tenant(),
-            what,
+            kind,
         }
     }
 
-    fn lookup(&mut self, service: &'static str, path: &str) -> Ask {
+    fn lookup(&mut self, service: &'static str, path: &str) -> ClientRequest {
         let path = format!("{path}{}?of={}", self.rng.u32(..1000), self.salt);
-        let what = What::Plain {
+        let kind = RequestKind::Plain {
             method: "GET",
             path,
             body: String::new(),
             key: None,
         };
-        Ask {
+        ClientRequest {
             service,
             class: "lookup",
             tenant: self.tenant(),
-            what,
+            kind,
         }
     }
 
-    fn keyed(&mut self, service: &'static str, class: &'static str, path: &str) -> Ask {
+    fn non_idempotent(
+        &mut self,
+        service: &'static str,
+        class: &'static str,
+        path: &str,
+    ) -> ClientRequest {
         if let Some(last) = &self.last_keyed
             && self.rng.u64(..REPEAT_EVERY) == 0
         {
             return last.clone();
         }
-        // Some callers give no key: theirs must run at most once all the same.
-        let key = (self.rng.u32(..5) > 0).then(|| format!("{}-{}", self.salt, self.made));
-        let body = format!("{{\"order\":{},\"of\":\"{}\"}}", self.made, self.salt);
-        let what = What::Plain {
+        // Some clients give no key: theirs must run at most once all the same.
+        let key = (self.rng.u32(..5) > 0).then(|| format!("{}-{}", self.salt, self.generated));
+        let body = format!("{{\"order\":{},\"of\":\"{}\"}}", self.generated, self.salt);
+        let kind = RequestKind::Plain {
             method: "POST",
             path: path.to_owned(),
             body,
             key: key.clone(),
         };
-        let ask = Ask {
+        let request = ClientRequest {
             service,
             class,
             tenant: self.tenant(),
-            what,
+            kind,
         };
         if key.is_some() {
-            self.last_keyed = Some(ask.clone());
+            self.last_keyed = Some(request.clone());
         }
-        ask
+        request
     }
 }
--- a/crates/bench/src/outage.rs
+++ b/crates/bench/src/outage.rs
@@ -1,8 +1,8 @@
 //! `outage`: what is served before, in and after an outage of the table service
 //! and the object store, and how hard their recovery is hit.
 
-use crate::caller::{Caller, Got, Sent};
-use crate::deploy::{Deployment, free_net};
+use crate::client::{Call, CallResult, Client};
+use crate::deploy::{Deployment, reserve_subnet};
 use crate::judge::is_non_idempotent;
 use crate::mix::Mix;
 use crate::procs::build_binary;
@@ -17,9 +17,9 @@
 use wire::Outcome;
 
 /// Requests a second.
-const RATE: u32 = 30;
-/// Time between counts of the platform's calls.
-const COUNT: Duration = Duration::from_secs(1);
+const REQUESTS_PER_S: u32 = 30;
+/// Time between counts of the platform's tasks.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One part of the run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
@@ -34,12 +34,12 @@
     pub non_idempotent_answered: u64,
     /// Those of them that were refused as not run.
     pub non_idempotent_not_run: u64,
-    /// Most calls of the table service and writes of the object store in a
+    /// Most tasks of the table service and writes of the object store in a
     /// second, failed ones not counted.
     pub most_platform_calls: u64,
 }
 
-/// What was measured.
+/// RequestKind was measured.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Measured {
     /// Before the outage.
@@ -54,9 +54,9 @@
 
 /// Runs with an outage of so many seconds.
 pub async fn run(seconds: u64) -> io::Result<Measured> {
-    let (net, _lock) = free_net()?;
+    let (subnet, _lock) = reserve_subnet()?;
     let mut options = Options::new(build_binary().await?, Deployment::Sleutelbos);
-    options.net = net;
+    options.subnet = subnet;
     options.limits = "{linger: 100ms, record_flush: 2s}".to_owned();
     let mut site = Site::start(Deployment::Sleutelbos, options).await?;
     let around = Duration::from_secs(20.min(seconds));
@@ -65,21 +65,21 @@
         down: true,
         ..Faults::default()
     };
-    measured.before = part(&site, around, 1).await?;
+    measured.before = run_part(&site, around, 1).await?;
     site.table.gate().set(down.clone());
     site.objects.gate().set(down);
-    measured.during = part(&site, Duration::from_secs(seconds), 2).await?;
+    measured.during = run_part(&site, Duration::from_secs(seconds), 2).await?;
     site.table.gate().set(Faults::default());
     site.objects.gate().set(Faults::default());
-    measured.after = part(&site, around, 3).await?;
+    measured.after = run_part(&site, around, 3).await?;
     site.stop().await?;
-    let sent = [&measured.before, &measured.during, &measured.after];
-    let sent: u64 = sent.iter().map(|p| p.idempotent + p.non_idempotent).sum();
-    measured.lost_records = sent.saturating_sub(reported(&site).await?);
+    let parts = [&measured.before, &measured.during, &measured.after];
+    let requests: u64 = parts.iter().map(|p| p.idempotent + p.non_idempotent).sum();
+    measured.lost_records = requests.saturating_sub(reported_requests(&site).await?);
     Ok(measured)
 }
 
-async fn reported(site: &Site) -> io::Result<u64> {
+async fn reported_requests(site: &Site) -> io::Result<u64> {
     let mut sum = 0;
     for doc in &site.docs {
         let out = site
@@ -91,38 +91,38 @@
     Ok(sum)
 }
 
-async fn part(site: &Site, length: Duration, seed: u64) -> io::Result<Part> {
-    let callers: Vec<Caller> = site.entry_addrs().into_iter().map(Caller::new).collect();
+async fn run_part(site: &Site, length: Duration, seed: u64) -> io::Result<Part> {
+    let clients: Vec<Client> = site.entry_addrs().into_iter().map(Client::new).collect();
     let mut mix = Mix::new(Deployment::Sleutelbos, seed);
-    let mut clock = tokio::time::interval(Duration::from_secs(1) / RATE);
+    let mut clock = tokio::time::interval(Duration::from_secs(1) / REQUESTS_PER_S);
     let until = tokio::time::Instant::now() + length;
-    let mut calls = JoinSet::new();
+    let mut tasks = JoinSet::new();
     let (mut part, mut n) = (Part::default(), 0);
-    let (mut counted, mut counted_at) = (calls_so_far(site), now_ms());
+    let (mut counted, mut counted_at) = (platform_calls(site), now_ms());
     while clock.tick().await < until {
-        let (caller, ask) = (callers[n % callers.len()].clone(), mix.draw());
+        let (client, request) = (clients[n % clients.len()].clone(), mix.next_request());
         n += 1;
-        calls.spawn(async move { caller.send(ask).await });
-        if now_ms() - counted_at >= COUNT.as_millis() as u64 {
-            let now = calls_so_far(site);
+        tasks.spawn(async move { client.send(request).await });
+        if now_ms() - counted_at >= COUNT_INTERVAL.as_millis() as u64 {
+            let now = platform_calls(site);
             part.most_platform_calls = part.most_platform_calls.max(now - counted);
             (counted, counted_at) = (now, now_ms());
         }
     }
-    while let Some(sent) = calls.join_next().await {
-        part.add(&sent.map_err(io::Error::other)?);
+    while let Some(call) = tasks.join_next().await {
+        part.add(&call.map_err(io::Error::other)?);
     }
     Ok(part)
 }
 
-fn calls_so_far(site: &Site) -> u64 {
+fn platform_calls(site: &Site) -> u64 {
     let table = site.table.history();
     table.reads + table.commits + table.refused + site.objects.puts()
 }
 
 impl Part {
-    fn add(&mut self, s: &Sent) {
-        let whole = u64::from(matches!(s.got, Got::Whole { .. }));
+    fn add(&mut self, s: &Call) {
+        let whole = u64::from(matches!(s.result, CallResult::Complete { .. }));
         if !is_non_idempotent(s) {
             self.idempotent += 1;
             self.idempotent_answered += whole;
@@ -131,8 +131,8 @@
         self.non_idempotent += 1;
         self.non_idempotent_answered += whole;
         let not_run = matches!(
-            s.got,
-            Got::Refused {
+            s.result,
+            CallResult::Refused {
                 outcome: Outcome::NotRun,
                 ..
             }
--- a/crates/bench/src/probe.rs
+++ b/crates/bench/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whether a gateway serves, asked as a client would.
+//! Whether a gateway wait_serving, status_line as a client would.
 
 use standin::fixture::request;
 use std::io;
@@ -8,22 +8,22 @@
 use tokio::net::TcpStream;
 
 /// Pause between two questions.
-const ASK_EVERY: Duration = Duration::from_millis(50);
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Waits until a gateway takes connections and answers one with success.
-pub async fn serves(at: SocketAddr, more: &str) {
-    let text = request("GET", "/safe/", "probe", more, "");
+pub async fn wait_serving(at: SocketAddr, extra_headers: &str) {
+    let text = request("GET", "/safe/", "probe", extra_headers, "");
     loop {
-        let asked = async {
+        let status_line = async {
             let mut tcp = TcpStream::connect(at).await?;
             tcp.write_all(text.as_bytes()).await?;
             let mut buf = vec![0; 12];
             tcp.read_exact(&mut buf).await?;
             io::Result::Ok(buf)
         };
-        if asked.await.is_ok_and(|buf| buf.ends_with(b"200")) {
+        if status_line.await.is_ok_and(|buf| buf.ends_with(b"200")) {
             return;
         }
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
--- a/crates/bench/src/procs.rs
+++ b/crates/bench/src/procs.rs
@@ -9,7 +9,7 @@
 use tokio::process::{Child, Command};
 
 /// Longest wait for a process that was told to stop.
-const STOP_BOUND: Duration = Duration::from_secs(90);
+const STOP_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// A process that the bench started. It is killed when this is dropped.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     child: Child,
 }
 
-/// What is sent to a process.
+/// RequestKind is sent to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
     /// Stop gracefully.
@@ -93,8 +93,8 @@
     }
 
     /// Waits for the process to end.
-    pub async fn ended(&mut self) -> io::Result<ExitStatus> {
-        match tokio::time::timeout(STOP_BOUND, self.child.wait()).await {
+    pub async fn wait(&mut self) -> io::Result<ExitStatus> {
+        match tokio::time::timeout(STOP_TIMEOUT, self.child.wait()).await {
             Ok(status) => status,
             Err(_) => Err(io::Error::other(format!("{} doesn't end", self.name))),
         }
@@ -103,13 +103,13 @@
     /// Kills the process and waits for its end.
     pub async fn kill(&mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::Kill);
-        self.ended().await
+        self.wait().await
     }
 
     /// Stops the process gracefully and waits for its end.
     pub async fn stop(&mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::Term);
-        self.ended().await
+        self.wait().await
     }
 }
 
@@ -118,14 +118,14 @@
 pub struct Output {
     /// The exit code.
     pub code: Option<i32>,
-    /// What it printed.
+    /// RequestKind it printed.
     pub stdout: String,
-    /// What it complained of.
+    /// RequestKind it complained of.
     pub stderr: String,
 }
 
 /// Runs one of the operators' commands to its end.
-pub async fn command(binary: &Path, args: &[&str]) -> io::Result<Output> {
+pub async fn run_command(binary: &Path, args: &[&str]) -> io::Result<Output> {
     let out = Command::new(binary)
         .args(args)
         .stdin(Stdio::null())
--- a/crates/bench/src/recover.rs
+++ b/crates/bench/src/recover.rs
@@ -1,7 +1,7 @@
 //! How long a large system takes to serve again after all its processes were killed:
 //! gateways as processes, before a store in this process with many upstreams.
 
-use crate::probe::serves;
+use crate::probe::wait_serving;
 use crate::procs::{Proc, Signal, build_binary};
 use serde::Serialize;
 use standin::fixture::{CONFIG, WORKERS, config, routes, settings_in, worker};
@@ -15,17 +15,17 @@
 /// Availability zones among which the hosts are spread.
 const ZONES: usize = 6;
 /// Longest wait until all serve.
-const BOUND: Duration = Duration::from_secs(60);
+const SERVE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time for which all run before they are killed.
-const RUNS_FOR: Duration = Duration::from_secs(3);
-/// Port of the worker that serves, and of the store.
+const RUN_TIME: Duration = Duration::from_secs(3);
+/// Port of the worker that wait_serving, and of the store.
 const WORKER_PORT: u16 = 7100;
 const STORE_PORT: u16 = 7003;
 
 /// Times until gateways served, in milliseconds; none for those that never did.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figures {
-    /// What they came from.
+    /// RequestKind they came from.
     pub after: &'static str,
     /// Gateways that served in the end.
     pub served: usize,
@@ -48,10 +48,10 @@
 /// Starts so many gateways before so many upstreams, kills all at once and starts them
 /// again.
 pub async fn run(hosts: usize, upstreams: usize) -> io::Result<Vec<Figures>> {
-    let own = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 69, 0, 1)), STORE_PORT);
-    let store = Store::start(own)?;
+    let store_addr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 69, 0, 1)), STORE_PORT);
+    let store = Store::start(store_addr)?;
     store.put(CONFIG.0, CONFIG.1, &config(1, &routes()));
-    let serving = Worker::start(SocketAddr::new(own.ip(), WORKER_PORT), "i-0").await?;
+    let serving = Worker::start(SocketAddr::new(store_addr.ip(), WORKER_PORT), "i-0").await?;
     serving.usually(Act::Serve(1));
     let row = worker("plain", serving.addr, "ready", None);
     store.put(WORKERS, "i-0", &row);
@@ -70,14 +70,14 @@
     let hosts = write_settings(hosts, &dir, store.addr)?;
     let binary = build_binary().await?;
     let mut out = Vec::new();
-    let mut procs = start(&hosts, &binary)?;
+    let mut procs = start_gateways(&hosts, &binary)?;
     out.push(measure("a first start", &hosts, &store).await);
-    tokio::time::sleep(RUNS_FOR).await;
+    tokio::time::sleep(RUN_TIME).await;
     procs.iter().for_each(|p| p.signal(Signal::Kill));
     for proc in &mut procs {
-        proc.ended().await?;
+        proc.wait().await?;
     }
-    let procs = start(&hosts, &binary)?;
+    let procs = start_gateways(&hosts, &binary)?;
     out.push(measure("all were killed", &hosts, &store).await);
     drop(procs);
     std::fs::remove_dir_all(&dir)?;
@@ -104,7 +104,7 @@
     Ok(out)
 }
 
-fn start(hosts: &[Host], binary: &Path) -> io::Result<Vec<Proc>> {
+fn start_gateways(hosts: &[Host], binary: &Path) -> io::Result<Vec<Proc>> {
     let all = hosts.iter();
     all.map(|h| Proc::start_gateway(binary, &h.name, &h.settings))
         .collect()
@@ -113,15 +113,15 @@
 async fn measure(after: &'static str, hosts: &[Host], store: &Store) -> Figures {
     let since = Instant::now();
     let reads = store.reads(WORKERS);
-    let mut asked = JoinSet::new();
+    let mut probes = JoinSet::new();
     for host in hosts {
         let at = SocketAddr::new(IpAddr::V4(host.ip), 7000);
-        asked.spawn(async move {
-            let served = tokio::time::timeout(BOUND, serves(at, "")).await;
+        probes.spawn(async move {
+            let served = tokio::time::timeout(SERVE_TIMEOUT, wait_serving(at, "")).await;
             served.ok().map(|()| since.elapsed().as_millis() as u64)
         });
     }
-    let mut times: Vec<u64> = asked.join_all().await.into_iter().flatten().collect();
+    let mut times: Vec<u64> = probes.join_all().await.into_iter().flatten().collect();
     times.sort_unstable();
     Figures {
         after,
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -12,18 +12,18 @@
 use tokio::task::JoinHandle;
 
 /// Bytes that are passed on at once.
-const PIECE: usize = 64 << 10;
+const BUFFER_BYTES: usize = 64 << 10;
 
-/// What a link does with bytes.
+/// RequestKind a link does with bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
     /// It passes them.
     Open,
-    /// It holds them in both directions. What was on its way is held, not lost, as
-    /// TCP would hold it over a short cut.
-    Held,
+    /// It holds them in both directions. RequestKind was on its direction is held, not lost, as
+    /// TCP would hold it over a short stalled.
+    Stalled,
     /// It holds what comes back, and passes what goes there.
-    HeldBack,
+    ResponsesStalled,
     /// It passes each piece after a time.
     Slow(Duration),
     /// It breaks open connections and refuses new ones.
@@ -31,20 +31,20 @@
 }
 
 impl Link {
-    fn passes(self, way: Way) -> bool {
+    fn passes(self, direction: Direction) -> bool {
         match self {
             Self::Open | Self::Slow(_) | Self::Broken => true,
-            Self::Held => false,
-            Self::HeldBack => way == Way::There,
+            Self::Stalled => false,
+            Self::ResponsesStalled => direction == Direction::Forward,
         }
     }
 }
 
 /// Direction of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    Forward,
+    Backward,
 }
 
 /// Passes bytes between an address and a process as a link does. It ends when it
@@ -76,8 +76,8 @@
     }
 
     /// Holds bytes in both directions, or goes on to pass them.
-    pub fn set_cut(&self, cut: bool) {
-        self.set(if cut { Link::Held } else { Link::Open });
+    pub fn set_stalled(&self, stalled: bool) {
+        self.set(if stalled { Link::Stalled } else { Link::Open });
     }
 }
 
@@ -92,7 +92,7 @@
 
 async fn connection(near: TcpStream, to: SocketAddr, mut link: watch::Receiver<Link>) {
     // A connection that is dropped with bytes unread is reset.
-    if *link.borrow() == Link::Broken || !passable(&mut link, Way::There).await {
+    if *link.borrow() == Link::Broken || !wait_passable(&mut link, Direction::Forward).await {
         return;
     }
     // The other end sees a connection that closes at once, as it would without
@@ -104,23 +104,23 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (near_in, near_out) = near.into_split();
     let (far_in, far_out) = far.into_split();
-    let there = tokio::spawn(pass(near_in, far_out, link.clone(), Way::There));
-    let back = pass(far_in, near_out, link.clone(), Way::Back);
+    let forward = tokio::spawn(pass(near_in, far_out, link.clone(), Direction::Forward));
+    let backward = pass(far_in, near_out, link.clone(), Direction::Backward);
     tokio::select! {
-        () = back => {}
+        () = backward => {}
         // The sender lives as long as the relay; without it the connection ends too.
         _ = link.wait_for(|l| *l == Link::Broken) => {}
     }
-    there.abort();
+    forward.abort();
 }
 
 async fn pass(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut link: watch::Receiver<Link>,
-    way: Way,
+    direction: Direction,
 ) {
-    let mut buf = vec![0; PIECE];
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let Ok(n) = from.read(&mut buf).await else {
             // A reset is passed on as one: an answer without a length that ends
@@ -137,8 +137,8 @@
         if let Some(pause) = slow {
             tokio::time::sleep(pause).await;
         }
-        // An end is passed on too, and not before a cut is over.
-        let is_open = passable(&mut link, way).await;
+        // An end is passed on too, and not before a stalled is over.
+        let is_open = wait_passable(&mut link, direction).await;
         if !is_open || n == 0 || to.write_all(&buf[..n]).await.is_err() {
             return;
         }
@@ -146,6 +146,6 @@
 }
 
 /// Waits until bytes may pass; false if the relay has ended.
-async fn passable(link: &mut watch::Receiver<Link>, way: Way) -> bool {
-    link.wait_for(|l| l.passes(way)).await.is_ok()
+async fn wait_passable(link: &mut watch::Receiver<Link>, direction: Direction) -> bool {
+    link.wait_for(|l| l.passes(direction)).await.is_ok()
 }
--- a/crates/bench/src/schedule.rs
+++ b/crates/bench/src/schedule.rs
@@ -3,7 +3,7 @@
 use fakes::Faults;
 use fastrand::Rng;
 
-/// What a fault is done to, and what is done.
+/// RequestKind a fault is done to, and what is done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
     /// An agent, by place, is killed and later started again.
@@ -36,18 +36,18 @@
 
 /// A fault with its time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Planned {
+pub struct ScheduledFault {
     /// When it begins, in milliseconds.
     pub from_ms: u64,
     /// When it ends.
     pub until_ms: u64,
-    /// What it is.
+    /// RequestKind it is.
     pub fault: Fault,
 }
 
 /// How many of each there are.
 #[derive(Debug, Clone, Copy)]
-pub struct Counts {
+pub struct SiteSize {
     /// Upstreams with agents.
     pub workers: usize,
     /// Entries.
@@ -58,8 +58,8 @@
 
 /// Draws a schedule. Faults of one lane follow each other, those of different
 /// lanes fall together.
-pub fn draw(seed: u64, length_ms: u64, n: Counts) -> Vec<Planned> {
-    let lanes: [fn(&mut Rng, Counts) -> Fault; 6] = [agent, entry, table, other, upstream, edit];
+pub fn generate(seed: u64, length_ms: u64, n: SiteSize) -> Vec<ScheduledFault> {
+    let lanes: [fn(&mut Rng, SiteSize) -> Fault; 6] = [agent, entry, table, other, upstream, edit];
     let mut all = Vec::new();
     for (lane, draw) in lanes.into_iter().enumerate() {
         let mut rng = Rng::with_seed(seed.wrapping_mul(31).wrapping_add(lane as u64));
@@ -71,7 +71,7 @@
             } else {
                 300 + rng.u64(..5_700)
             };
-            all.push(Planned {
+            all.push(ScheduledFault {
                 from_ms: at,
                 until_ms: (at + lasts).min(length_ms),
                 fault,
@@ -83,7 +83,7 @@
     all
 }
 
-fn agent(rng: &mut Rng, n: Counts) -> Fault {
+fn agent(rng: &mut Rng, n: SiteSize) -> Fault {
     let at = rng.usize(..n.workers);
     match rng.u32(..5) {
         0 => Fault::KillAgent(at),
@@ -94,7 +94,7 @@
     }
 }
 
-fn entry(rng: &mut Rng, n: Counts) -> Fault {
+fn entry(rng: &mut Rng, n: SiteSize) -> Fault {
     let at = rng.usize(..n.entries);
     match rng.u32(..3) {
         0 => Fault::KillEntry(at),
@@ -119,11 +119,11 @@
     }
 }
 
-fn table(rng: &mut Rng, _: Counts) -> Fault {
+fn table(rng: &mut Rng, _: SiteSize) -> Fault {
     Fault::Table(platform(rng))
 }
 
-fn other(rng: &mut Rng, _: Counts) -> Fault {
+fn other(rng: &mut Rng, _: SiteSize) -> Fault {
     if rng.bool() {
         Fault::Objects(platform(rng))
     } else {
@@ -131,7 +131,7 @@
     }
 }
 
-fn upstream(rng: &mut Rng, n: Counts) -> Fault {
+fn upstream(rng: &mut Rng, n: SiteSize) -> Fault {
     let none = Faults::default();
     let some = 1 + rng.u32(..5);
     let faults = match rng.u32(..9) {
@@ -169,6 +169,6 @@
     Fault::Upstream(rng.usize(..n.workers), faults)
 }
 
-fn edit(rng: &mut Rng, n: Counts) -> Fault {
+fn edit(rng: &mut Rng, n: SiteSize) -> Fault {
     Fault::Edit(rng.usize(..n.services))
 }
--- a/crates/bench/src/scrape.rs
+++ b/crates/bench/src/scrape.rs
@@ -9,7 +9,7 @@
 /// Longest wait for the metrics.
 const TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest text.
-const MAX_TEXT: usize = 16 << 20;
+const MAX_METRICS_BYTES: usize = 16 << 20;
 
 /// Bytes of control traffic of a process so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -53,7 +53,7 @@
     let req = req.body(empty()).map_err(io::Error::other)?;
     let pool = Pool::new(admin, TIMEOUT);
     let (_, text) = pool
-        .call(req, MAX_TEXT, TIMEOUT)
+        .call(req, MAX_METRICS_BYTES, TIMEOUT)
         .await
         .map_err(io::Error::other)?;
     Ok(String::from_utf8_lossy(&text).into_owned())
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -6,10 +6,10 @@
 pub use options::Options;
 
 use crate::deploy::{
-    Deployment, admin_of, behind_relay, entry_addr, hosts_addr, objects_addr, table_addr,
-    upstream_of,
+    Deployment, admin_addr, entry_addr, hosts_addr, objects_addr, relayed_agent_addr, table_addr,
+    upstream_addr,
 };
-use crate::procs::{Output, Proc, command};
+use crate::procs::{Output, Proc, run_command};
 use crate::relay::Relay;
 use conf::{Doc, Upstream};
 use fakes::Running;
@@ -27,13 +27,13 @@
 use std::time::Duration;
 
 /// Longest wait for a process to become ready.
-const READY_BOUND: Duration = Duration::from_secs(60);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between looks at whether it is.
-const READY_LOOK: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for one answer about health.
-const CALL_BOUND: Duration = Duration::from_secs(2);
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest such answer.
-const MAX_ANSWER: usize = 1 << 20;
+const MAX_HEALTH_BYTES: usize = 1 << 20;
 
 /// A stand-in upstream.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     pub agent: Proc,
     /// Where the agent itself listens.
     pub listen: SocketAddr,
-    /// What stands between the entries and the agent, if anything does.
+    /// RequestKind stands between the entries and the agent, if anything does.
     pub relay: Option<Relay>,
     settings: PathBuf,
     _running: Running,
@@ -65,7 +65,7 @@
 
 /// An entry.
 #[derive(Debug)]
-pub struct EntryProc {
+pub struct EntryProcess {
     /// Where it listens.
     pub addr: SocketAddr,
     /// The process.
@@ -89,7 +89,7 @@
     /// The upstreams with their agents.
     pub workers: Vec<Worker>,
     /// The entries.
-    pub entries: Vec<EntryProc>,
+    pub entries: Vec<EntryProcess>,
     options: Options,
     dir: PathBuf,
     _running: Vec<Running>,
@@ -110,16 +110,16 @@
 impl Site {
     /// Starts everything and waits until every process is ready.
     pub async fn start(deployment: Deployment, options: Options) -> io::Result<Self> {
-        let net = options.net;
-        let dir = std::env::temp_dir().join(format!("arbutusquay-{}-{net}", std::process::id()));
+        let subnet = options.subnet;
+        let dir = std::env::temp_dir().join(format!("arbutusquay-{}-{subnet}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         let table = Arc::<TableStandin>::default();
         let objects = Arc::<ObjectsStandin>::default();
-        let hosts = Arc::new(HostsStandin::new(options.host_lag));
+        let hosts = Arc::new(HostsStandin::new(options.host_list_lag));
         let running = vec![
-            fakes::start(table_addr(net), table.clone()).await?,
-            fakes::start(objects_addr(net), objects.clone()).await?,
-            fakes::start(hosts_addr(net), hosts.clone()).await?,
+            fakes::start(table_addr(subnet), table.clone()).await?,
+            fakes::start(objects_addr(subnet), objects.clone()).await?,
+            fakes::start(hosts_addr(subnet), hosts.clone()).await?,
         ];
         let mut site = Self {
             deployment,
@@ -137,21 +137,21 @@
         site.start_entries()?;
         site.apply_documents().await?;
         site.start_workers().await?;
-        site.ready().await?;
+        site.wait_ready().await?;
         Ok(site)
     }
 
     fn start_entries(&mut self) -> io::Result<()> {
         let zones = self.deployment.entry_zones();
         for (i, zone) in zones.iter().cycle().take(self.options.entries).enumerate() {
-            let addr = entry_addr(self.options.net, i);
+            let addr = entry_addr(self.options.subnet, i);
             let name = format!("entry-{}", i + 1);
             let services: Vec<&str> = self.docs.iter().map(|d| d.service.as_str()).collect();
             let services = services.join(", ");
             let host = format!("{}-ingang-{}", self.deployment.name(), i + 1);
-            let settings = self.settings(&name, &host, zone, addr, &services, "")?;
+            let settings = self.write_settings(&name, &host, zone, addr, &services, "")?;
             let process = Proc::start(&self.options.binary, "entry", &name, &settings)?;
-            self.entries.push(EntryProc {
+            self.entries.push(EntryProcess {
                 addr,
                 process,
                 settings,
@@ -172,12 +172,12 @@
 
     /// The documents' texts as they were first applied.
     pub fn documents(&self) -> Vec<String> {
-        let own = || {
+        let defaults = || {
             self.deployment
-                .documents(self.options.net, self.options.workers)
+                .documents(self.options.subnet, self.options.workers)
                 .to_vec()
         };
-        self.options.documents.clone().unwrap_or_else(own)
+        self.options.documents.clone().unwrap_or_else(defaults)
     }
 
     fn parse_documents(&self) -> io::Result<Vec<Doc>> {
@@ -185,13 +185,23 @@
         self.documents().into_iter().map(parse).collect()
     }
 
-    /// Applies a document's text over a version.
-    pub async fn apply(&self, service: &str, text: &str, over: u64) -> io::Result<Output> {
+    /// Applies a document's text expected_version a version.
+    pub async fn apply(
+        &self,
+        service: &str,
+        text: &str,
+        expected_version: u64,
+    ) -> io::Result<Output> {
         let file = self.dir.join(format!("{service}.yaml"));
         std::fs::write(&file, text)?;
-        let over = over.to_string();
-        self.command(&["apply", &file.to_string_lossy(), "--over", &over])
-            .await
+        let expected_version = expected_version.to_string();
+        self.command(&[
+            "apply",
+            &file.to_string_lossy(),
+            "--over",
+            &expected_version,
+        ])
+        .await
     }
 
     /// Runs an operators' command with the first entry's settings.
@@ -200,7 +210,7 @@
         let settings = settings.to_string_lossy();
         let mut all = args.to_vec();
         all.extend(["--settings", &settings]);
-        command(&self.options.binary, &all).await
+        run_command(&self.options.binary, &all).await
     }
 
     /// The first entry's settings file.
@@ -221,7 +231,7 @@
     }
 
     async fn start_worker(&self, doc: &Doc, upstream: &Upstream) -> io::Result<Worker> {
-        let addr = upstream_of(upstream.agent);
+        let addr = upstream_addr(upstream.agent);
         let (standin, running) = if doc.is_engine() {
             let engine = EngineStandin::new(self.options.rates.clone());
             (
@@ -229,14 +239,14 @@
                 fakes::start(addr, engine).await?,
             )
         } else {
-            let plain = Arc::new(PlainStandin::new(self.options.plain_work));
+            let plain = Arc::new(PlainStandin::new(self.options.plain_service_time));
             (
                 UpstreamStandin::Plain(plain.clone()),
                 fakes::start(addr, plain).await?,
             )
         };
         let listen = if self.options.relays {
-            behind_relay(upstream.agent)
+            relayed_agent_addr(upstream.agent)
         } else {
             upstream.agent
         };
@@ -247,7 +257,7 @@
         let name = format!("agent-{}", upstream.name);
         let extra = format!("upstream: {{name: {}, address: {addr}}}\n", upstream.name);
         let (host, zone) = (&upstream.host, &upstream.zone);
-        let settings = self.settings(&name, host, zone, listen, &doc.service, &extra)?;
+        let settings = self.write_settings(&name, host, zone, listen, &doc.service, &extra)?;
         let agent = Proc::start(&self.options.binary, "agent", &name, &settings)?;
         Ok(Worker {
             service: doc.service.clone(),
@@ -261,7 +271,7 @@
         })
     }
 
-    fn settings(
+    fn write_settings(
         &self,
         name: &str,
         host: &str,
@@ -270,9 +280,10 @@
         services: &str,
         extra: &str,
     ) -> io::Result<PathBuf> {
-        let net = self.options.net;
-        let (table, objects, hosts) = (table_addr(net), objects_addr(net), hosts_addr(net));
-        let admin = admin_of(addr);
+        let subnet = self.options.subnet;
+        let (table, objects, hosts) =
+            (table_addr(subnet), objects_addr(subnet), hosts_addr(subnet));
+        let admin = admin_addr(addr);
         let text = format!(
             "name: {name}\nhost: {host}\nzone: {zone}\nlisten: {addr}\nadmin: {admin}\n\
              platform: {{table: {table}, objects: {objects}, hosts: {hosts}, timeout: 2s}}\n\
@@ -285,12 +296,12 @@
     }
 
     /// Waits until every process is ready.
-    pub async fn ready(&self) -> io::Result<()> {
+    pub async fn wait_ready(&self) -> io::Result<()> {
         for e in &self.entries {
-            ready(admin_of(e.addr), &e.process.name).await?;
+            wait_ready(admin_addr(e.addr), &e.process.name).await?;
         }
         for w in &self.workers {
-            ready(admin_of(w.listen), &w.agent.name).await?;
+            wait_ready(admin_addr(w.listen), &w.agent.name).await?;
         }
         Ok(())
     }
@@ -317,19 +328,19 @@
             p.signal(crate::procs::Signal::Term);
         }
         for p in all {
-            p.ended().await?;
+            p.wait().await?;
         }
         Ok(())
     }
 
     /// Lag of the host list.
-    pub fn host_lag(&self) -> Duration {
-        self.options.host_lag
+    pub fn host_list_lag(&self) -> Duration {
+        self.options.host_list_lag
     }
 
     /// Second number of its loopback addresses.
-    pub fn net(&self) -> u8 {
-        self.options.net
+    pub fn subnet(&self) -> u8 {
+        self.options.subnet
     }
 
     /// Where the processes' settings and logs are.
@@ -344,16 +355,16 @@
 }
 
 /// Waits until a process says that it is ready.
-pub async fn ready(admin: SocketAddr, name: &str) -> io::Result<()> {
-    let pool = Pool::new(admin, CALL_BOUND);
-    let until = tokio::time::Instant::now() + READY_BOUND;
+pub async fn wait_ready(admin: SocketAddr, name: &str) -> io::Result<()> {
+    let pool = Pool::new(admin, HEALTH_TIMEOUT);
+    let until = tokio::time::Instant::now() + READY_TIMEOUT;
     loop {
         let req = Request::builder()
             .method(Method::GET)
             .uri("/health")
             .header("host", "bench");
         let req = req.body(empty()).map_err(io::Error::other)?;
-        if let Ok((status, _)) = pool.call(req, MAX_ANSWER, CALL_BOUND).await
+        if let Ok((status, _)) = pool.call(req, MAX_HEALTH_BYTES, HEALTH_TIMEOUT).await
             && status.is_success()
         {
             return Ok(());
@@ -361,6 +372,6 @@
         if tokio::time::Instant::now() >= until {
             return Err(io::Error::other(format!("{name} isn't ready")));
         }
-        tokio::time::sleep(READY_LOOK).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
--- a/crates/bench/src/site/options.rs
+++ b/crates/bench/src/site/options.rs
@@ -11,7 +11,7 @@
     /// The shipped binary.
     pub binary: PathBuf,
     /// Second number of the loopback addresses.
-    pub net: u8,
+    pub subnet: u8,
     /// Entries; at most one for each zone of the deployment that has one.
     pub entries: usize,
     /// Documents to serve in place of the deployment's own.
@@ -21,9 +21,9 @@
     /// Rates of the engines.
     pub rates: Rates,
     /// Time that a plain service takes for a call.
-    pub plain_work: Duration,
+    pub plain_service_time: Duration,
     /// Lag of the host list.
-    pub host_lag: Duration,
+    pub host_list_lag: Duration,
     /// Whether entries reach agents through relays that can be cut.
     pub relays: bool,
     /// The field `limits` of all settings, as YAML.
@@ -35,7 +35,7 @@
     pub fn new(binary: PathBuf, deployment: Deployment) -> Self {
         Self {
             binary,
-            net: deployment.net(),
+            subnet: deployment.subnet(),
             entries: deployment.entry_zones().len(),
             documents: None,
             workers: usize::MAX,
@@ -43,8 +43,8 @@
                 fencing: deployment == Deployment::Sleutelbos,
                 ..Rates::default()
             },
-            plain_work: Duration::from_millis(3),
-            host_lag: Duration::from_millis(500),
+            plain_service_time: Duration::from_millis(3),
+            host_list_lag: Duration::from_millis(500),
             relays: false,
             limits: "{record_flush: 1s, doc_poll: 1s, linger: 500ms, lease: 3s}".to_owned(),
         }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -5,9 +5,9 @@
 //! the stand-ins' own counts. One variable changes over a factor of at least 8;
 //! a line is fitted to each figure.
 
-use crate::caller::{Caller, Got};
-use crate::deploy::{Deployment, admin_of, free_net};
-use crate::mix::{Ask, What};
+use crate::client::{CallResult, Client};
+use crate::deploy::{Deployment, admin_addr, reserve_subnet};
+use crate::mix::{ClientRequest, RequestKind};
 use crate::procs::build_binary;
 use crate::scrape::control_bytes;
 use crate::site::{Options, Site};
@@ -28,7 +28,7 @@
 /// figures are those of a real site.
 const LIMITS: &str = "{linger: 100ms}";
 /// Bytes of prompts: two in five are long, and tied to an upstream.
-const PROMPTS: [usize; 5] = [400, 6_000, 400, 6_000, 400];
+const PROMPT_BYTES: [usize; 5] = [400, 6_000, 400, 6_000, 400];
 
 /// Sizes of one measurement.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -43,7 +43,7 @@
     changes: u32,
 }
 
-const BASE: Sizes = Sizes {
+const BASE_SIZES: Sizes = Sizes {
     entries: 1,
     agents: 4,
     rate: 8,
@@ -55,9 +55,9 @@
 /// A figure as a function of a variable: `intercept + slope * x`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// What one more costs.
+    /// RequestKind one more costs.
     pub slope: f64,
-    /// What none costs.
+    /// RequestKind none costs.
     pub intercept: f64,
     /// How well the line fits: 1 is exact.
     pub fit: f64,
@@ -94,7 +94,7 @@
 fn series() -> Vec<(&'static str, Vec<(f64, Sizes)>)> {
     let of = |xs: &[u32], set: fn(&mut Sizes, u32)| {
         let point = |x: &u32| {
-            let mut sizes = BASE;
+            let mut sizes = BASE_SIZES;
             set(&mut sizes, *x);
             (f64::from(*x), sizes)
         };
@@ -123,14 +123,14 @@
 }
 
 /// The document of a service made up for a measurement.
-fn document(net: u8, number: usize, agents: usize, note: u64) -> String {
+fn document(subnet: u8, number: usize, agents: usize, note: u64) -> String {
     let first = number * agents;
     let up = |i: usize| {
         let (n, zone) = (
             first + i,
             ["gent-zaal-a", "gent-zaal-b", "mechelen-zaal"][i % 3],
         );
-        let agent = format!("127.{net}.{}.{}:7000", n / 200 * 3, n % 200 + 1);
+        let agent = format!("127.{subnet}.{}.{}:7000", n / 200 * 3, n % 200 + 1);
         format!("- {{name: u{n}, host: h{n}, zone: {zone}, agent: '{agent}', slots: 16}}\n")
     };
     let ups: String = (0..agents).map(up).collect();
@@ -147,12 +147,12 @@
     sizes: Sizes,
     length: Duration,
 ) -> io::Result<BTreeMap<String, f64>> {
-    let (net, _lock) = free_net()?;
+    let (subnet, _lock) = reserve_subnet()?;
     let mut options = Options::new(binary.to_owned(), Deployment::Sleutelbos);
-    options.net = net;
+    options.subnet = subnet;
     options.entries = sizes.entries;
     let texts = (0..sizes.documents)
-        .map(|n| document(net, n, sizes.agents, 0))
+        .map(|n| document(subnet, n, sizes.agents, 0))
         .collect();
     options.documents = Some(texts);
     options.limits = LIMITS.to_owned();
@@ -162,40 +162,40 @@
         ..options.rates
     };
     let mut site = Site::start(Deployment::Sleutelbos, options).await?;
-    load(&site, sizes, WARM_UP).await?;
+    run_load(&site, sizes, WARM_UP).await?;
     let before = Totals::read(&site).await?;
-    load(&site, sizes, length).await?;
+    run_load(&site, sizes, length).await?;
     let after = Totals::read(&site).await?;
     site.stop().await?;
     Ok(after.since(&before))
 }
 
 /// Sends requests, and changes documents, for a time.
-async fn load(site: &Site, sizes: Sizes, length: Duration) -> io::Result<()> {
-    let callers: Vec<Caller> = site.entry_addrs().into_iter().map(Caller::new).collect();
-    let each = sizes.rate.max(1) * callers.len() as u32;
+async fn run_load(site: &Site, sizes: Sizes, length: Duration) -> io::Result<()> {
+    let clients: Vec<Client> = site.entry_addrs().into_iter().map(Client::new).collect();
+    let each = sizes.rate.max(1) * clients.len() as u32;
     let mut clock = tokio::time::interval(Duration::from_secs(1) / each);
     let until = tokio::time::Instant::now() + length;
-    let changes = tokio::time::timeout_at(until, change(site, sizes));
-    let mut calls = JoinSet::new();
+    let changes = tokio::time::timeout_at(until, change_documents(site, sizes));
+    let mut tasks = JoinSet::new();
     let requests = async {
         let mut n = 0usize;
         while clock.tick().await < until {
-            let (caller, ask) = (callers[n % callers.len()].clone(), ask(sizes, n));
+            let (client, request) = (clients[n % clients.len()].clone(), make_request(sizes, n));
             n += 1;
-            calls.spawn(async move { caller.send(ask).await });
+            tasks.spawn(async move { client.send(request).await });
         }
     };
     let ((), changed) = tokio::join!(requests, changes);
     if let Ok(changed) = changed {
         changed?;
     }
-    while let Some(sent) = calls.join_next().await {
-        let sent = sent.map_err(io::Error::other)?;
-        if !matches!(sent.got, Got::Whole { .. }) {
+    while let Some(call) = tasks.join_next().await {
+        let call = call.map_err(io::Error::other)?;
+        if !matches!(call.result, CallResult::Complete { .. }) {
             return Err(io::Error::other(format!(
                 "a request failed: {:?}",
-                sent.got
+                call.result
             )));
         }
     }
@@ -203,31 +203,31 @@
 }
 
 /// Services of the measurements. Callers' requests name them statically.
-const NAMES: [&str; 12] = [
+const SERVICES: [&str; 12] = [
     "s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10", "s11",
 ];
 
-fn ask(sizes: Sizes, n: usize) -> Ask {
+fn make_request(sizes: Sizes, n: usize) -> ClientRequest {
     let mut prompt = format!("{:016x} ", fastrand::u64(..));
-    while prompt.len() < PROMPTS[n % PROMPTS.len()] {
+    while prompt.len() < PROMPT_BYTES[n % PROMPT_BYTES.len()] {
         prompt.push_str("lorem ipsum dolor sit amet ");
     }
-    let what = What::Completion {
+    let kind = RequestKind::Completion {
         prompt,
         tokens: 2,
         chat: false,
         stream: true,
     };
-    Ask {
-        service: NAMES[n % sizes.documents.min(NAMES.len())],
+    ClientRequest {
+        service: SERVICES[n % sizes.documents.min(SERVICES.len())],
         class: "c",
         tenant: format!("tenant-{}", n as u64 % sizes.tenants),
-        what,
+        kind,
     }
 }
 
 /// Changes documents at their rate until it is cancelled.
-async fn change(site: &Site, sizes: Sizes) -> io::Result<()> {
+async fn change_documents(site: &Site, sizes: Sizes) -> io::Result<()> {
     if sizes.changes == 0 {
         return std::future::pending().await;
     }
@@ -242,7 +242,7 @@
             .await
             .map_err(io::Error::other)?;
         let over = rows.first().map_or(0, |r| r.version);
-        let text = document(site.net(), 0, sizes.agents, note);
+        let text = document(site.subnet(), 0, sizes.agents, note);
         let txn = Txn::new()
             .check(doc_key("s0"), over)
             .put(doc_key("s0"), text)
@@ -252,7 +252,7 @@
     Ok(())
 }
 
-/// What everything has used so far.
+/// RequestKind everything has used so far.
 #[derive(Debug)]
 struct Totals {
     at: Instant,
@@ -277,11 +277,11 @@
         let entries = site
             .entries
             .iter()
-            .map(|e| (e.process.id(), admin_of(e.addr)));
+            .map(|e| (e.process.id(), admin_addr(e.addr)));
         let agents = site
             .workers
             .iter()
-            .map(|w| (w.agent.id(), admin_of(w.listen)));
+            .map(|w| (w.agent.id(), admin_addr(w.listen)));
         let history = site.table.history();
         Ok(Self {
             entry: RoleTotals::read(entries.collect()).await?,
@@ -328,7 +328,7 @@
             let bytes = control_bytes(admin).await?;
             sum.platform += bytes.platform as f64 / count;
             sum.peers += bytes.peers as f64 / count;
-            if let Some(used) = id.and_then(usage::of) {
+            if let Some(used) = id.and_then(usage::read) {
                 sum.cpu += used.cpu.as_secs_f64() / count;
                 sum.resident += used.resident as f64 / count;
             }
--- a/crates/bench/src/bed.rs
+++ b/crates/bench/src/testbed.rs
@@ -1,9 +1,9 @@
-//! A small site of real processes for tests, on addresses of its own. What fails
+//! A small site of real processes for tests, on addresses of its own. RequestKind fails
 //! here fails the test, so these functions panic.
 
-use crate::caller::{Caller, Got, Sent};
-use crate::deploy::{Deployment, free_net};
-use crate::mix::{Ask, What};
+use crate::client::{Call, CallResult, Client};
+use crate::deploy::{Deployment, reserve_subnet};
+use crate::mix::{ClientRequest, RequestKind};
 use crate::site::{Options, Site, UpstreamStandin, Worker};
 use fakes::engine::{EngineStandin, Rates};
 use fakes::plain::PlainStandin;
@@ -13,31 +13,35 @@
 use std::time::Duration;
 
 /// Bound of all waits for a condition.
-pub const BOUND: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between looks at a condition.
-pub const LOOK: Duration = Duration::from_millis(20);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The service with engines.
-pub const MODEL: &str = "taalmodel-dossier";
+pub const ENGINE_SERVICE: &str = "taalmodel-dossier";
 /// The plain service.
-pub const PLAIN: &str = "ledenportaal";
+pub const PLAIN_SERVICE: &str = "ledenportaal";
 
 /// A site, with the lock on its addresses.
-pub struct Bed {
+pub struct Testbed {
     /// The site.
     pub site: Site,
     _lock: TcpListener,
 }
 
 /// A site of two entries and so many workers of each service.
-pub async fn bed(binary: &str, workers: usize) -> Bed {
-    bed_with(binary, workers, |_| {}).await
+pub async fn testbed(binary: &str, workers: usize) -> Testbed {
+    testbed_with(binary, workers, |_| {}).await
 }
 
 /// The same with other options.
-pub async fn bed_with(binary: &str, workers: usize, change: impl FnOnce(&mut Options)) -> Bed {
-    let (net, lock) = free_net().unwrap();
+pub async fn testbed_with(
+    binary: &str,
+    workers: usize,
+    configure: impl FnOnce(&mut Options),
+) -> Testbed {
+    let (subnet, lock) = reserve_subnet().unwrap();
     let mut options = Options::new(PathBuf::from(binary), Deployment::Sleutelbos);
-    options.net = net;
+    options.subnet = subnet;
     options.entries = 2;
     options.workers = workers;
     let step = Duration::from_millis(2);
@@ -46,21 +50,21 @@
         change: Duration::from_millis(50),
         ..options.rates
     };
-    options.host_lag = Duration::from_millis(10);
+    options.host_list_lag = Duration::from_millis(10);
     options.limits = "{record_flush: 200ms, doc_poll: 500ms, host_poll: 100ms, linger: 100ms, \
                       lease: 1s, read_timeout: 2s}"
         .to_owned();
-    change(&mut options);
-    Bed {
+    configure(&mut options);
+    Testbed {
         site: Site::start(Deployment::Sleutelbos, options).await.unwrap(),
         _lock: lock,
     }
 }
 
-impl Bed {
-    /// A caller of an entry.
-    pub fn caller(&self, entry: usize) -> Caller {
-        Caller::new(self.site.entries[entry].addr)
+impl Testbed {
+    /// A client of an entry.
+    pub fn client(&self, entry: usize) -> Client {
+        Client::new(self.site.entries[entry].addr)
     }
 
     /// The engine of a worker.
@@ -81,7 +85,7 @@
     }
 
     /// All plain services.
-    pub fn plains(&self) -> Vec<Arc<PlainStandin>> {
+    pub fn plain_services(&self) -> Vec<Arc<PlainStandin>> {
         let plain = |w: &Worker| match &w.standin {
             UpstreamStandin::Engine(_) => None,
             UpstreamStandin::Plain(p) => Some(p.clone()),
@@ -90,75 +94,75 @@
     }
 
     /// Runs of all plain services with a key.
-    pub fn runs_of(&self, key: &str) -> usize {
+    pub fn run_count(&self, key: &str) -> usize {
         let runs = |p: Arc<PlainStandin>| p.history().iter().filter(|r| r.key == key).count();
-        self.plains().into_iter().map(runs).sum()
+        self.plain_services().into_iter().map(runs).sum()
     }
 }
 
 /// A streamed completion.
-pub fn reply(prompt: &str, tokens: u32) -> Ask {
+pub fn reply(prompt: &str, tokens: u32) -> ClientRequest {
     let prompt = prompt.to_owned();
-    let what = What::Completion {
+    let kind = RequestKind::Completion {
         prompt,
         tokens,
         chat: false,
         stream: true,
     };
-    Ask {
-        service: MODEL,
+    ClientRequest {
+        service: ENGINE_SERVICE,
         class: "reply",
         tenant: "ann".into(),
-        what,
+        kind,
     }
 }
 
 /// A notice: non-idempotent.
-pub fn notice(key: &str, body: &str) -> Ask {
+pub fn notice(key: &str, body: &str) -> ClientRequest {
     let (path, body) = ("/notices".to_owned(), body.to_owned());
-    let what = What::Plain {
+    let kind = RequestKind::Plain {
         method: "POST",
         path,
         body,
         key: Some(key.to_owned()),
     };
-    Ask {
-        service: PLAIN,
+    ClientRequest {
+        service: PLAIN_SERVICE,
         class: "notice",
         tenant: "ann".into(),
-        what,
+        kind,
     }
 }
 
 /// A lookup: idempotent.
-pub fn lookup(path: &str) -> Ask {
-    let what = What::Plain {
+pub fn lookup(path: &str) -> ClientRequest {
+    let kind = RequestKind::Plain {
         method: "GET",
         path: path.into(),
         body: String::new(),
         key: None,
     };
-    Ask {
-        service: PLAIN,
+    ClientRequest {
+        service: PLAIN_SERVICE,
         class: "lookup",
         tenant: "ann".into(),
-        what,
+        kind,
     }
 }
 
 /// Whether the whole answer came.
-pub fn is_whole(sent: &Sent) -> bool {
-    matches!(sent.got, Got::Whole { .. })
+pub fn is_complete(call: &Call) -> bool {
+    matches!(call.result, CallResult::Complete { .. })
 }
 
 /// Waits for a condition.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let wait = async {
         while !holds() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(BOUND, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
         .unwrap_or_else(|_| panic!("{what} doesn't come"));
 }
--- a/crates/bench/src/up.rs
+++ b/crates/bench/src/up.rs
@@ -13,7 +13,7 @@
         sites.push(Site::start(deployment, Options::new(binary.clone(), deployment)).await?);
     }
     for site in &sites {
-        print_lines(site, &binary.display().to_string());
+        print_examples(site, &binary.display().to_string());
     }
     println!("Running. Ctrl-C stops everything gracefully.");
     tokio::signal::ctrl_c().await?;
@@ -24,18 +24,18 @@
     Ok(())
 }
 
-fn print_lines(site: &Site, binary: &str) {
+fn print_examples(site: &Site, binary: &str) {
     let Some(entry) = site.entry_addrs().first().copied() else {
         return;
     };
-    let admin = crate::deploy::admin_of(entry);
+    let admin = crate::deploy::admin_addr(entry);
     let [model, plain] = site.docs.as_slice() else {
         return;
     };
     let settings = site.settings_file();
     let settings = settings.display();
-    let once = plain.classes.iter().find_map(|c| c.routes.first());
-    let once = once.map_or("/", |r| r.path.as_str());
+    let route = plain.classes.iter().find_map(|c| c.routes.first());
+    let route = route.map_or("/", |r| r.path.as_str());
     println!("# {}", site.deployment.name());
     println!(
         "curl -N http://{entry}/{}/v1/completions -H 'X-Tenant: ann' \
@@ -48,7 +48,7 @@
         model.service, model.classes[0].name
     );
     println!(
-        "curl -i http://{entry}/{}{once} -H 'Idempotency-Key: k1' -d 'one, and only one'",
+        "curl -i http://{entry}/{}{route} -H 'Idempotency-Key: k1' -d 'one, and only one'",
         plain.service
     );
     println!("curl http://{entry}/{}/status/7", plain.service);
--- a/crates/bench/src/usage.rs
+++ b/crates/bench/src/usage.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::time::Duration;
 
-/// What a process has used so far.
+/// RequestKind a process has used so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
     /// Processor time, user and system.
@@ -13,8 +13,8 @@
 }
 
 /// Reads a process's usage; none if it has ended.
-pub fn of(id: u32) -> Option<Usage> {
-    let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
+pub fn read(pid: u32) -> Option<Usage> {
+    let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The name in parentheses may hold spaces; fields are counted after it.
     let rest = stat.rsplit_once(')')?.1;
     let fields: Vec<u64> = rest
@@ -22,7 +22,7 @@
         .map(|f| f.parse().unwrap_or(0))
         .collect();
     let ticks = fields.get(11)? + fields.get(12)?;
-    let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+    let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|l| l.starts_with("VmRSS:"))?;
     let resident = line.split_whitespace().nth(1)?.parse::<u64>().ok()? * 1024;
     Some(Usage {
--- a/crates/bench/tests/capacity.rs
+++ b/crates/bench/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! The capacity page and the committed slopes can't drift apart.
 
-use bench::capacity::{rows, value, with_rows};
+use bench::capacity::{replace_rows, rows, value};
 use bench::slopes::{Slopes, fit};
 use std::fs;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn every_row_of_the_page_is_what_the_slopes_give() {
+fn every_row_of_the_page_matches_the_slopes() {
     let slopes: Slopes = serde_json::from_str(&doc("slopes.json")).unwrap();
     let rows = rows(&doc("CAPACITY.md")).expect("the page has its block");
     assert!(!rows.is_empty());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn every_row_over_its_limit_says_so_on_the_page() {
+fn rows_over_their_limit_are_named_on_the_page() {
     let page = doc("CAPACITY.md");
     for row in rows(&page).unwrap() {
         let over = row.limit.is_some_and(|l| row.value > l);
@@ -35,18 +35,18 @@
 }
 
 #[test]
-fn a_row_that_was_changed_by_hand_is_noticed() {
+fn a_manually_changed_row_is_detected() {
     let slopes: Slopes = serde_json::from_str(&doc("slopes.json")).unwrap();
     let page = doc("CAPACITY.md");
     let mut changed = rows(&page).unwrap();
     changed[0].value = changed[0].value * 2.0 + 1.0;
-    let page = with_rows(&page, &changed).unwrap();
+    let page = replace_rows(&page, &changed).unwrap();
     let read = rows(&page).unwrap();
     assert!((value(&read[0], &slopes).unwrap() - read[0].value).abs() > 0.5);
 }
 
 #[test]
-fn a_line_is_fitted_exactly_where_there_is_one() {
+fn collinear_points_are_fitted_exactly() {
     let line = fit(vec![(1.0, 5.0), (2.0, 7.0), (8.0, 19.0)]);
     assert!((line.slope - 2.0).abs() < 1e-9 && (line.intercept - 3.0).abs() < 1e-9);
     assert!((line.fit - 1.0).abs() < 1e-9);
