--- a/crates/bench/tests/check.rs
+++ b/crates/bench/tests/check.rs
@@ -1,8 +1,10 @@
 //! Each rule accepts a good history and rejects one that lacks its guard.
 
-use bench::caller::{Got, Sent};
-use bench::check::{self, Accepted, Excused, History, Leaving, RunSeen, Sample};
-use bench::mix::{Ask, What};
+use bench::check::{
+    self, AcceptedDocument, ExemptPeriod, History, LeavingPeriod, ObservedRun, VersionSample,
+};
+use bench::client::{Call, CallResult};
+use bench::mix::{ClientRequest, RequestKind};
 use engine::{Order, OrderAnswer};
 use fakes::engine::OrderSeen;
 use store::rows::{Desired, Lease, encode};
@@ -21,8 +23,8 @@
     }
 }
 
-fn run(upstream: &str, request: &str, key: &str, idempotent: bool, at_ms: u64) -> RunSeen {
-    RunSeen {
+fn run(upstream: &str, request: &str, key: &str, idempotent: bool, at_ms: u64) -> ObservedRun {
+    ObservedRun {
         upstream: upstream.into(),
         service: "s".into(),
         request: request.into(),
@@ -32,25 +34,25 @@
     }
 }
 
-fn sent(id: &str, got: Got) -> Sent {
-    let what = What::Plain {
+fn call(id: &str, result: CallResult) -> Call {
+    let kind = RequestKind::Plain {
         method: "POST",
         path: "/x".into(),
         body: String::new(),
         key: None,
     };
-    let ask = Ask {
+    let request = ClientRequest {
         service: "s",
         class: "c",
         tenant: "t".into(),
-        what,
+        kind,
     };
-    Sent {
-        ask,
+    Call {
+        request,
         id: Some(id.into()),
-        got,
-        first: None,
-        gaps: Vec::new(),
+        result,
+        first_byte: None,
+        token_gaps: Vec::new(),
     }
 }
 
@@ -85,8 +87,8 @@
     row("desired/s/u", encode(&desired))
 }
 
-fn sample(id: u32, version: u64, at_ms: u64) -> Sample {
-    Sample {
+fn sample(id: u32, version: u64, at_ms: u64) -> VersionSample {
+    VersionSample {
         process: "p".into(),
         id,
         service: "s".into(),
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn orders_that_conflict_cut_off_or_come_late_are_counted() {
+fn conflicting_interrupting_and_stale_orders_are_counted() {
     let good = orders(vec![order(1), order(2)]);
     assert_eq!(check::conflicting_orders(&good), 0);
     assert_eq!(check::cut_off(&good), 0);
@@ -152,22 +154,28 @@
 
 #[test]
 fn crossed_and_truncated_answers_are_counted() {
-    let of = |got| History {
-        sent: vec![sent("1", got)],
+    let of = |result| History {
+        calls: vec![call("1", result)],
         ..History::default()
     };
-    assert_eq!(check::crossed(&of(Got::Whole { kept: false })), 0);
-    assert_eq!(check::crossed(&of(Got::Crossed)), 1);
-    assert_eq!(check::truncated(&of(Got::Whole { kept: false })), 0);
-    assert_eq!(check::truncated(&of(Got::Truncated)), 1);
+    assert_eq!(
+        check::crossed(&of(CallResult::Complete { replayed: false })),
+        0
+    );
+    assert_eq!(check::crossed(&of(CallResult::Crossed)), 1);
+    assert_eq!(
+        check::truncated(&of(CallResult::Complete { replayed: false })),
+        0
+    );
+    assert_eq!(check::truncated(&of(CallResult::Truncated)), 1);
 }
 
 #[test]
-fn not_run_that_ran_is_counted_and_unknown_that_ran_is_not() {
+fn a_run_after_a_not_run_refusal_is_counted_and_after_an_unknown_one_is_not() {
     let of = |outcome| History {
-        sent: vec![sent(
+        calls: vec![call(
             "1",
-            Got::Refused {
+            CallResult::Refused {
                 outcome,
                 reason: String::new(),
             },
@@ -180,7 +188,7 @@
 }
 
 #[test]
-fn a_second_run_of_a_key_or_of_a_request_without_key_is_counted() {
+fn repeated_runs_of_a_key_or_of_a_request_without_key_are_counted() {
     let of = |runs| History {
         runs,
         ..History::default()
@@ -199,23 +207,23 @@
 }
 
 #[test]
-fn work_that_begins_at_a_leaving_upstream_after_the_bound_is_counted() {
+fn runs_started_late_at_a_leaving_upstream_are_counted() {
     let of = |upstream: &str, at_ms| History {
         runs: vec![run(upstream, "1", "", true, at_ms)],
-        leaving: vec![Leaving {
+        leaving: vec![LeavingPeriod {
             upstream: "u".into(),
             from_ms: 1_000,
-            by_list: false,
+            host_list_only: false,
             until_ms: 9_000,
         }],
         ..History::default()
     };
     assert_eq!(
-        check::late_work_to_leaving(&of("u", 1_000 + check::LEAVING_BOUND_MS)),
+        check::late_work_to_leaving(&of("u", 1_000 + check::MAX_LEAVING_DELAY_MS)),
         0
     );
     assert_eq!(
-        check::late_work_to_leaving(&of("u", 1_001 + check::LEAVING_BOUND_MS)),
+        check::late_work_to_leaving(&of("u", 1_001 + check::MAX_LEAVING_DELAY_MS)),
         1
     );
     assert_eq!(check::late_work_to_leaving(&of("v", 8_000)), 0);
@@ -227,16 +235,16 @@
 }
 
 #[test]
-fn only_a_list_that_nobody_could_read_excuses_work_at_a_leaving_upstream() {
-    let of = |by_list, list_out| History {
+fn only_host_list_outages_exempt_late_runs_at_a_leaving_upstream() {
+    let of = |host_list_only, host_list_outages| History {
         runs: vec![run("u", "1", "", true, 5_000)],
-        leaving: vec![Leaving {
+        leaving: vec![LeavingPeriod {
             upstream: "u".into(),
             from_ms: 1_000,
-            by_list,
+            host_list_only,
             until_ms: 9_000,
         }],
-        list_out,
+        host_list_outages,
         ..History::default()
     };
     assert_eq!(check::late_work_to_leaving(&of(true, Vec::new())), 1);
@@ -257,7 +265,7 @@
 }
 
 #[test]
-fn a_process_that_goes_back_to_a_lower_version_is_counted() {
+fn a_return_to_a_lower_version_is_counted() {
     let of = |samples| History {
         samples,
         ..History::default()
@@ -278,22 +286,22 @@
 }
 
 #[test]
-fn a_process_behind_for_longer_than_the_bound_is_counted_unless_it_could_not_follow() {
-    let late = 1_001 + check::CONFIG_BOUND_MS;
-    let of = |version, at_ms, excused: Vec<Excused>| History {
-        accepted: vec![Accepted {
+fn a_document_that_is_late_in_a_process_is_counted_unless_exempt() {
+    let late = 1_001 + check::MAX_CONFIG_DELAY_MS;
+    let of = |version, at_ms, exemptions: Vec<ExemptPeriod>| History {
+        accepted: vec![AcceptedDocument {
             service: "s".into(),
             version: 5,
             at_ms: 1_000,
         }],
         samples: vec![sample(1, version, at_ms)],
-        excused,
+        exemptions,
         ..History::default()
     };
     assert_eq!(check::config_late(&of(4, late - 1, Vec::new())), 0);
     assert_eq!(check::config_late(&of(4, late, Vec::new())), 1);
     assert_eq!(check::config_late(&of(5, late, Vec::new())), 0);
-    let out = |process: Option<&str>, from_ms, until_ms| Excused {
+    let out = |process: Option<&str>, from_ms, until_ms| ExemptPeriod {
         process: process.map(str::to_owned),
         from_ms,
         until_ms,
--- a/crates/bench/tests/known_red.rs
+++ b/crates/bench/tests/known_red.rs
@@ -14,7 +14,7 @@
 }
 
 /// Reads a list, where the tests have these names.
-fn read(case: &str, list: &str) -> Output {
+fn run_script(case: &str, list: &str) -> Output {
     let dir = std::env::temp_dir().join(format!("known-red-{}-{case}", std::process::id()));
     fs::create_dir_all(&dir).unwrap();
     let (file, tests) = (dir.join("list"), dir.join("tests"));
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn each_entry_names_one_test_whole() {
-    let out = read(
+fn each_entry_is_the_full_name_of_one_test() {
+    let out = run_script(
         "good",
         "one_test: seen: x, issue 1\nmodule::test: y, issue 2\n",
     );
@@ -37,12 +37,12 @@
         String::from_utf8(out.stdout).unwrap(),
         "one_test\nmodule::test\n"
     );
-    let out = read("last-line", "one_test: without a line's end");
+    let out = run_script("last-line", "one_test: without a line's end");
     assert_eq!(String::from_utf8(out.stdout).unwrap(), "one_test\n");
 }
 
 #[test]
-fn a_list_that_would_pass_over_other_tests_is_refused() {
+fn lists_that_would_skip_other_tests_are_rejected() {
     for (case, list) in [
         ("blank", "\n"),
         ("blank-between", "one_test: x\n\nmodule::test: y\n"),
@@ -52,14 +52,14 @@
         ("unknown", "gone_test: x\n"),
         ("words", "a test that fails: x\n"),
     ] {
-        let out = read(case, list);
+        let out = run_script(case, list);
         assert!(!out.status.success(), "{case}: {out:?}");
         assert!(!out.stderr.is_empty(), "{case}");
     }
 }
 
 #[test]
-fn the_list_of_the_tree_is_read_by_ci_that_way() {
+fn ci_reads_the_committed_list_with_the_script() {
     let run = fs::read_to_string(root().join(".ci/run")).unwrap();
     assert!(run.contains(".ci/known-red KNOWN-RED.txt"));
     assert!(run.contains("--exact \"${skip[@]}\""));
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -189,8 +189,8 @@
 
 fn link(rng: &mut fastrand::Rng) -> Link {
     match rng.u32(..6) {
-        0 => Link::Held,
-        1 => Link::HeldBack,
+        0 => Link::Stalled,
+        1 => Link::ResponsesStalled,
         2 => Link::Slow(Duration::from_millis(rng.u64(5..80))),
         3 => Link::Broken,
         _ => Link::Open,
--- a/crates/soak/src/scene.rs
+++ b/crates/soak/src/scene.rs
@@ -4,7 +4,7 @@
 use crate::deadly::Deadly;
 use crate::judge::PIECES;
 use crate::keys::{HOLDER_GAP, Key, Keys, WINDOW};
-use bench::probe::serves;
+use bench::probe::wait_serving;
 use bench::procs::{Proc, Signal};
 use bench::relay::{Link, Relay};
 use serde_json::json;
@@ -339,7 +339,7 @@
     /// Waits until each gateway serves, at most for a time; says whether all do.
     pub async fn all_serve(&self, bound: Duration) -> bool {
         let key = Key::Own(0).header();
-        let all = self.gateways.iter().map(|g| serves(g.callers, &key));
+        let all = self.gateways.iter().map(|g| wait_serving(g.callers, &key));
         let served = async {
             for one in all {
                 one.await;
--- a/crates/soak/src/stops.rs
+++ b/crates/soak/src/stops.rs
@@ -134,7 +134,7 @@
         6 if scene.upstreams.len() > 2 => scene.retire(worker),
         6..8 => scene.add_worker().await?,
         8..10 => scene.set_store(mode(rng)),
-        10 => scene.set_store_link(gateway, Link::Held),
+        10 => scene.set_store_link(gateway, Link::Stalled),
         11..14 => scene.set_store_link(gateway, Link::Open),
         14 => scene.store.forget_history(),
         _ if rng.u32(..4) == 0 => scene.signal(gateway, Signal::Kill),
