--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,46 +1,46 @@
-//! The capacity page's figures, worked out from measured slopes.
+//! Computes the figures of the capacity page from the measured slopes.
 
 use crate::slopes::Slopes;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::{fs, io};
 
-/// Marks of the machine-readable part of docs/CAPACITY.md.
+/// Delimiters of the machine-readable block in docs/CAPACITY.md.
 const BLOCK_BEGIN: &str = "```json capacity\n";
 const BLOCK_END: &str = "\n```";
 
-/// One term of a row: a measured figure times a number.
+/// One term of a row: a measured figure times a factor.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Term {
     /// `variable.figure.slope`, `variable.figure.intercept`, or `constant`.
     pub of: String,
-    /// The number.
+    /// Factor by which the figure is multiplied.
     pub times: f64,
-    /// Where the number comes from.
+    /// Origin of the factor.
     pub why: String,
 }
 
-/// A row: what something costs at the target.
+/// A row of the page: the amount of one resource needed at the target size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// RequestKind costs what.
+    /// Description of the resource and of what uses it.
     pub name: String,
-    /// The terms, to be added.
+    /// Terms whose sum is the value.
     pub terms: Vec<Term>,
-    /// Their sum.
+    /// Sum of the terms.
     pub value: f64,
-    /// RequestKind is allowed, if anything is said.
+    /// Upper limit of the value, if there is one.
     pub limit: Option<f64>,
 }
 
-/// Reads the rows from the page; none if they can't be read.
+/// Parses the rows of a page; `None` if the block is missing or invalid.
 pub fn rows(page: &str) -> Option<Vec<Row>> {
     let (_, rest) = page.split_once(BLOCK_BEGIN)?;
     let (block, _) = rest.split_once(BLOCK_END)?;
     serde_json::from_str(block).ok()
 }
 
-/// Puts rows into the page.
+/// Returns the page with its rows replaced; `None` if it has no block.
 pub fn replace_rows(page: &str, rows: &[Row]) -> Option<String> {
     let (head, rest) = page.split_once(BLOCK_BEGIN)?;
     let (_, tail) = rest.split_once(BLOCK_END)?;
@@ -49,7 +49,7 @@
     Some(format!("{head}{BLOCK_BEGIN}{block}{BLOCK_END}{tail}"))
 }
 
-/// Works a row's value out; none if a term names what wasn't measured.
+/// Computes the value of a row; `None` if a term refers to a figure that was not measured.
 pub fn value(row: &Row, slopes: &Slopes) -> Option<f64> {
     row.terms
         .iter()
@@ -70,7 +70,7 @@
     }
 }
 
-/// The rows as a table for people.
+/// Formats the rows as a Markdown table.
 pub fn table(rows: &[Row]) -> String {
     let mut out = String::from("| what | value | limit | terms |\n| --- | ---: | ---: | --- |\n");
     for r in rows {
@@ -91,16 +91,21 @@
     out
 }
 
-/// Works the committed page's rows out anew from the committed slopes, and
-/// prints them as a table.
+/// Recomputes the rows of the committed page from the committed slopes and prints them as a
+/// table.
 pub fn update_page() -> io::Result<()> {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     let slopes: Slopes = serde_json::from_str(&fs::read_to_string(docs.join("slopes.json"))?)?;
     let page = fs::read_to_string(docs.join("CAPACITY.md"))?;
-    let unreadable = || io::Error::other("docs/CAPACITY.md has no readable block of rows");
+    let unreadable = || io::Error::other("docs/CAPACITY.md has no valid block of rows");
     let mut rows = rows(&page).ok_or_else(unreadable)?;
     for row in &mut rows {
-        let unknown = || io::Error::other(format!("{}: a term wasn't measured", row.name));
+        let unknown = || {
+            io::Error::other(format!(
+                "{}: a term refers to a figure that was not measured",
+                row.name
+            ))
+        };
         row.value = value(row, &slopes).ok_or_else(unknown)?;
     }
     let renewed = replace_rows(&page, &rows).ok_or_else(unreadable)?;
--- a/crates/bench/src/check.rs
+++ b/crates/bench/src/check.rs
@@ -1,7 +1,7 @@
-//! The rules by which a history is judged, one function for each promise.
+//! Rules that check a recorded history, one function per guarantee.
 //!
-//! A history joins what clients, stand-ins and the fault schedule wrote, each on
-//! its own. The product isn't asked.
+//! A history combines the independent records of clients, stand-ins and the fault schedule. It
+//! contains nothing that the system under test reports about its own work.
 
 use crate::client::{Call, CallResult};
 use fakes::engine::OrderSeen;
@@ -10,115 +10,116 @@
 use store::rows::{Desired, Lease, decode};
 use wire::Outcome;
 
-/// A leaving upstream gets no new work after this, in milliseconds.
+/// Time after which a leaving upstream must receive no new work, in milliseconds.
 pub const MAX_LEAVING_DELAY_MS: u64 = 3_000;
-/// An accepted configuration is in force after this, in milliseconds.
+/// Time within which an accepted document must be in force, in milliseconds.
 pub const MAX_CONFIG_DELAY_MS: u64 = 12_000;
 
-/// A run at an upstream.
+/// A run of a request, as recorded by an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedRun {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The request's id.
+    /// Request ID.
     pub request: String,
-    /// The client's key, or an empty text.
+    /// Idempotency key of the client, or an empty string.
     pub key: String,
-    /// Whether the document calls it idempotent.
+    /// Whether the document declares the request idempotent.
     pub idempotent: bool,
-    /// When it began.
+    /// Start time in milliseconds.
     pub at_ms: u64,
 }
 
-/// A time during which an upstream was leaving.
+/// A period during which an upstream was leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeavingPeriod {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// When its agent was told, or the list began to say so.
+    /// Time at which the agent was signalled or the host list began to report it, in
+    /// milliseconds.
     pub from_ms: u64,
-    /// Whether only the list says so.
+    /// Whether the host list alone reports it and the agent was not signalled.
     pub host_list_only: bool,
-    /// When it was taken back, or the run ended.
+    /// Time at which it was reinstated, or `u64::MAX` until then.
     pub until_ms: u64,
 }
 
 /// A document that the table service accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedDocument {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The version.
+    /// Accepted version.
     pub version: u64,
-    /// When the editor knew.
+    /// Time at which the editor received the confirmation, in milliseconds.
     pub at_ms: u64,
 }
 
-/// The version in force in a process at a time.
+/// The version of a document in force in a process at one time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionSample {
-    /// The process's name.
+    /// Name of the process.
     pub process: String,
-    /// Its id, which tells incarnations apart.
+    /// Process ID, which distinguishes restarts of the process.
     pub id: u32,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The version; 0 if there was none yet.
+    /// Version in force; 0 if there was none yet.
     pub version: u64,
-    /// When it was asked.
+    /// Time of the sample in milliseconds.
     pub at_ms: u64,
 }
 
-/// A time during which a process couldn't be expected to follow: it was paused
-/// or down, or the table service was.
+/// A period during which a process could not be expected to apply new documents, because it was
+/// paused or down or the table service was unavailable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExemptPeriod {
-    /// The process; `None` for all.
+    /// Name of the process; `None` for all processes.
     pub process: Option<String>,
-    /// From when.
+    /// Start in milliseconds.
     pub from_ms: u64,
-    /// Until when.
+    /// End in milliseconds, or `u64::MAX` while the period is open.
     pub until_ms: u64,
 }
 
-/// Everything that was seen.
+/// Everything that was recorded in a run.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// RequestKind clients got.
+    /// Requests of the clients with their results.
     pub calls: Vec<Call>,
-    /// Runs at upstreams.
+    /// Runs recorded by upstreams.
     pub runs: Vec<ObservedRun>,
-    /// Orders that engines saw, by upstream, in order.
+    /// Orders received by engines, with the upstream's name, in order of arrival.
     pub orders: Vec<(String, OrderSeen)>,
-    /// Rows that the table service wrote, in order.
+    /// Rows written to the table service, in order.
     pub rows: Vec<Row>,
-    /// When upstreams were leaving.
+    /// Periods during which upstreams were leaving.
     pub leaving: Vec<LeavingPeriod>,
     /// Documents that were accepted.
     pub accepted: Vec<AcceptedDocument>,
-    /// Versions in force.
+    /// Samples of the versions in force.
     pub samples: Vec<VersionSample>,
-    /// When processes couldn't follow.
+    /// Periods during which processes could not apply documents.
     pub exemptions: Vec<ExemptPeriod>,
-    /// When nobody could read the host list, or only now and then.
+    /// Periods with faults of the host list, as start and end in milliseconds.
     pub host_list_outages: Vec<(u64, u64)>,
 }
 
-/// Orders that came while a different change was under way.
+/// Counts orders that arrived while a different change was in progress.
 pub fn conflicting_orders(h: &History) -> u64 {
     count(h.orders.iter(), |(_, o)| o.conflicting)
 }
 
-/// Streams that an order broke off.
+/// Counts streams that an order interrupted.
 pub fn cut_off(h: &History) -> u64 {
     h.orders.iter().map(|(_, o)| o.cut).sum()
 }
 
-/// Orders with an effect that came from a planner or agent whose time was over:
-/// an older number after a newer one at an engine, or a row of the desired state written under
-/// another epoch than that of the lease at that moment.
+/// Counts orders that took effect although their sender was no longer entitled to give them: an
+/// engine accepted a lower fencing number after a higher one, or a row of the desired state was
+/// written with an epoch other than that of the lease at that time.
 pub fn stale_orders_effective(h: &History) -> u64 {
     let at_engines = count(h.orders.iter(), |(_, o)| o.stale_effective);
     let mut epochs: BTreeMap<String, u64> = BTreeMap::new();
@@ -136,17 +137,17 @@
     at_engines + in_table
 }
 
-/// Answers to something else.
+/// Counts answers that belong to another request.
 pub fn crossed(h: &History) -> u64 {
     count(h.calls.iter(), |s| s.result == CallResult::Crossed)
 }
 
-/// Answers that aren't whole and don't say so.
+/// Counts incomplete answers that do not report an error.
 pub fn truncated(h: &History) -> u64 {
     count(h.calls.iter(), |s| s.result == CallResult::Truncated)
 }
 
-/// Requests refused as not run that ran.
+/// Counts requests that were refused as not run although they ran.
 pub fn false_not_run(h: &History) -> u64 {
     let ran: BTreeSet<&str> = h.runs.iter().map(|r| r.request.as_str()).collect();
     count(h.calls.iter(), |s| {
@@ -160,8 +161,8 @@
     })
 }
 
-/// Runs of non-idempotent calls beyond the first: by the client's key, or by the
-/// request's id where there was none.
+/// Counts repeated runs of non-idempotent requests. Runs are the same request if they have the
+/// same idempotency key or, without a key, the same request ID.
 pub fn double_runs(h: &History) -> u64 {
     let mut times: BTreeMap<(&str, &str, &str), u64> = BTreeMap::new();
     for r in h.runs.iter().filter(|r| !r.idempotent) {
@@ -175,13 +176,13 @@
     times.values().map(|n| n.saturating_sub(1)).sum()
 }
 
-/// Runs that began at an upstream after it had been leaving for a while. Where
-/// only the list says so, times in which nobody could read it don't count.
+/// Counts runs that started at an upstream after it had been leaving for too long. Host list
+/// outages are subtracted if only the host list reports that it is leaving.
 pub fn late_work_to_leaving(h: &History) -> u64 {
     count(h.runs.iter(), |r| is_late_work(h, r))
 }
 
-/// Whether a run began at an upstream that had been leaving for a while.
+/// Whether a run started at an upstream that had been leaving for too long.
 pub fn is_late_work(h: &History, r: &ObservedRun) -> bool {
     h.leaving.iter().any(|l| {
         let during = l.upstream == r.upstream && r.at_ms > l.from_ms && r.at_ms < l.until_ms;
@@ -189,7 +190,8 @@
     })
 }
 
-/// How much of the time up to a moment the list couldn't say that a host leaves.
+/// Part of the time until `until` during which the host list could not report that the host
+/// leaves.
 fn host_list_outage_ms(h: &History, l: &LeavingPeriod, until: u64) -> u64 {
     if !l.host_list_only {
         return 0;
@@ -197,7 +199,7 @@
     covered_ms(h.host_list_outages.iter().copied(), l.from_ms, until)
 }
 
-/// Times that a process went back to a lower version.
+/// Counts how often a process returned to a lower version.
 pub fn config_reverts(h: &History) -> u64 {
     let mut last: BTreeMap<(&str, u32, &str), u64> = BTreeMap::new();
     let mut reverts = 0;
@@ -209,8 +211,8 @@
     reverts
 }
 
-/// Samples of a process that was behind an accepted document for longer than
-/// the bound, times in which it couldn't follow not counted.
+/// Counts samples of processes in which an accepted document was not in force in time. Periods in
+/// which the process could not apply documents are subtracted.
 pub fn config_late(h: &History) -> u64 {
     count(h.samples.iter(), |s| {
         h.accepted.iter().any(|a| {
@@ -223,14 +225,14 @@
     })
 }
 
-/// How much of a time a process is excused.
+/// Part of an interval in which a process is exempt, in milliseconds.
 fn exempt_ms(h: &History, process: &str, from: u64, until: u64) -> u64 {
     let of = |e: &&ExemptPeriod| e.process.as_deref().is_none_or(|p| p == process);
     let spans = h.exemptions.iter().filter(of);
     covered_ms(spans.map(|e| (e.from_ms, e.until_ms)), from, until)
 }
 
-/// How much of a time spans cover; where they covered_ms counts once.
+/// Part of an interval that is covered by spans; overlapping spans count once.
 fn covered_ms(spans: impl Iterator<Item = (u64, u64)>, from: u64, until: u64) -> u64 {
     let clip = |(a, b): (u64, u64)| (a.max(from), b.min(until));
     let mut spans: Vec<(u64, u64)> = spans.map(clip).filter(|(a, b)| a < b).collect();
--- a/crates/bench/src/client.rs
+++ b/crates/bench/src/client.rs
@@ -1,4 +1,4 @@
-//! A client, which checks what it gets against what it asked for.
+//! HTTP client that verifies each response against its request.
 
 use crate::mix::{ClientRequest, RequestKind};
 use engine::sse::EventReader;
@@ -14,48 +14,48 @@
 use std::time::{Duration, Instant};
 use wire::Outcome;
 
-/// Longest that a client waits for a whole answer.
+/// Timeout for a complete response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Longest wait for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest answer that a client reads.
+/// Maximum size of a response body in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// RequestKind a client got.
+/// Result of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
-    /// The whole answer to its request.
+    /// The complete response to the request.
     Complete {
-        /// It is the one replayed from an earlier request with the same key.
+        /// Whether it is a stored response to an earlier request with the same key.
         replayed: bool,
     },
-    /// A typed refusal.
+    /// A refusal with an outcome and a reason.
     Refused {
-        /// RequestKind it says.
+        /// Whether the request ran.
         outcome: Outcome,
-        /// Why, as it says.
+        /// Reason of the refusal.
         reason: String,
     },
-    /// An answer that isn't whole and doesn't say so.
+    /// An incomplete response that does not report an error.
     Truncated,
-    /// An answer to something else.
+    /// A response that belongs to another request.
     Crossed,
-    /// The connection broke, or an answer that is no answer.
+    /// The connection broke or the response is invalid; contains the reason.
     Failed(String),
 }
 
-/// A request with what came of it.
+/// A request with its result.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// RequestKind was asked.
+    /// The request.
     pub request: ClientRequest,
-    /// The request's id, if the answer had one.
+    /// Request ID from the response, if present.
     pub id: Option<String>,
-    /// RequestKind came.
+    /// Result of the request.
     pub result: CallResult,
-    /// Time to the first byte of the answer's content.
+    /// Time to the first byte of the response's content.
     pub first_byte: Option<Duration>,
-    /// Times between tokens of a stream.
+    /// Times between consecutive tokens of a stream.
     pub token_gaps: Vec<Duration>,
 }
 
@@ -102,14 +102,14 @@
 }
 
 impl Client {
-    /// A client of the entry at an address.
+    /// Creates a client of the entry at an address.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             pool: Pool::new(addr, CONNECT_TIMEOUT),
         }
     }
 
-    /// Sends a request and waits for all that comes of it.
+    /// Sends a request and waits for its result.
     pub async fn send(&self, request: ClientRequest) -> Call {
         let since = Instant::now();
         let mut call = Call {
@@ -121,13 +121,14 @@
         };
         let whole = self.exchange(&mut call, since);
         if tokio::time::timeout(RESPONSE_TIMEOUT, whole).await.is_err() {
-            call.result = CallResult::Failed("no whole answer in time".into());
+            call.result = CallResult::Failed("no complete response in time".into());
         }
         call
     }
 
     async fn exchange(&self, call: &mut Call, since: Instant) {
-        // A new connection for each, so that a break is never one of an idle one.
+        // Each request uses a new connection, so that a failure is never due to a stale idle
+        // connection.
         let mut answer = match self.pool.send_on_new(http_request(&call.request)).await {
             Ok(answer) => answer,
             Err(e) => {
@@ -160,7 +161,7 @@
     }
 }
 
-/// Builds a request.
+/// Builds the HTTP request for a client request.
 pub fn http_request(request: &ClientRequest) -> Request<Body> {
     let req = Request::builder()
         .header("host", "entry")
@@ -207,7 +208,7 @@
             (req, body.clone())
         }
     };
-    req.body(full(body)).expect("the mix makes valid requests")
+    req.body(full(body)).expect("requests of the mix are valid")
 }
 
 async fn read_whole(res: &mut Response<hyper::body::Incoming>) -> Result<Vec<u8>, String> {
@@ -233,7 +234,7 @@
     replayed: bool,
 ) -> CallResult {
     if !status.is_success() {
-        let what = || CallResult::Failed(format!("status {status} without a typed refusal"));
+        let what = || CallResult::Failed(format!("status {status} without a valid refusal"));
         return refused(body).unwrap_or_else(what);
     }
     match &request.kind {
@@ -250,7 +251,8 @@
             body: asked,
             ..
         } => {
-            // RequestKind a plain service answers is its own affair, even this.
+            // Any body is a valid answer of a plain service, also the malformed body that the
+            // stand-in sends as a fault.
             if body == NONSENSE.as_bytes() {
                 return CallResult::Complete { replayed };
             }
@@ -266,7 +268,7 @@
     }
 }
 
-/// Judges a completion's whole text.
+/// Verifies the complete text of a completion.
 fn judge_text(request: &ClientRequest, text: &str) -> CallResult {
     let RequestKind::Completion {
         prompt,
@@ -277,7 +279,7 @@
     else {
         return CallResult::Crossed;
     };
-    // The entry joins chat turns like this; the engine answers to the result.
+    // The entry joins chat turns in this form and the engine answers the joined prompt.
     let prompt = if *chat {
         format!("user: {prompt}\n")
     } else {
@@ -307,18 +309,19 @@
                     }
                     continue;
                 }
-                // No end of its own: whoever reads it sees that it isn't whole.
+                // The connection broke, so the client can tell that the response is incomplete.
                 Some(Err(e)) => return CallResult::Failed(e.to_string()),
-                None => return CallResult::Failed("stream without an end".into()),
+                None => return CallResult::Failed("stream ended without [DONE]".into()),
             },
-            Err(_) => return CallResult::Failed("not server-sent events".into()),
+            Err(_) => return CallResult::Failed("invalid server-sent events".into()),
         };
         if data.as_ref() == b"[DONE]" {
             return judge_text(&call.request, &text);
         }
         let Ok(chunk) = serde_json::from_slice::<Chunk>(&data) else {
-            return refused(&data)
-                .unwrap_or(CallResult::Failed("neither chunk nor refusal".into()));
+            return refused(&data).unwrap_or(CallResult::Failed(
+                "event is neither a chunk nor a refusal".into(),
+            ));
         };
         let new: String = chunk.choices.into_iter().map(Choice::into_text).collect();
         if new.is_empty() {
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: both deployments under a mixed load, with an agent killed and another drained.
+//! `demo`: runs both deployments under a mixed load while agents are killed and drained.
 
 use crate::check::History;
 use crate::client::{Call, Client};
@@ -13,14 +13,14 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Requests a second of each deployment.
+/// Request rate per deployment.
 const REQUESTS_PER_S: u32 = 40;
-/// How long the load goes on.
+/// Duration of the load.
 const LOAD_DURATION: Duration = Duration::from_secs(14);
-/// Seed of the mix.
+/// Seed of the request mix.
 const MIX_SEED: u64 = 1;
 
-/// Runs the demo; gives the verdict over both deployments.
+/// Runs the demo and returns the verdict for both deployments together.
 pub async fn run() -> io::Result<Verdict> {
     let binary = build_binary().await?;
     let mut parts = JoinSet::new();
@@ -64,7 +64,7 @@
     Ok(verdict)
 }
 
-/// Kills an agent and starts it again, and drains another.
+/// Kills and restarts an agent, and drains another.
 async fn inject_faults(site: &mut Site) -> io::Result<()> {
     let engine = |w: &crate::site::Worker| matches!(w.standin, UpstreamStandin::Engine(_));
     let engines: Vec<usize> = (0..site.workers.len())
@@ -94,7 +94,8 @@
     Ok(())
 }
 
-/// An open load: requests begin at their time whatever becomes of those before.
+/// Generates an open-loop load: requests start on schedule whether or not earlier ones have
+/// ended.
 pub async fn run_load(
     deployment: Deployment,
     entries: Vec<SocketAddr>,
@@ -116,13 +117,13 @@
     }
     let mut calls = Vec::new();
     while let Some(call) = tasks.join_next().await {
-        // A client that panicked is a fault of the bench, and would be a missing request.
-        calls.push(call.expect("clients don't panic"));
+        // A panic in a client is a bug in the bench and would hide a request.
+        calls.push(call.expect("client tasks don't panic"));
     }
     calls
 }
 
-/// Prints the services' reports; gives the requests that no report has.
+/// Prints the reports of all services; returns the number of requests that are in no report.
 async fn print_reports(site: &Site, calls: u64) -> io::Result<u64> {
     let mut reported = 0;
     for doc in &site.docs {
--- a/crates/bench/src/deploy.rs
+++ b/crates/bench/src/deploy.rs
@@ -1,29 +1,29 @@
-//! The users' deployments.
+//! The two sample deployments and their loopback addresses.
 
 use conf::Doc;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::ops::RangeInclusive;
 
-/// Part of loopback addresses that the sample documents use, as text.
+/// Address prefixes used in the sample documents.
 const SAMPLE_PREFIXES: [&str; 2] = ["127.11.", "127.12."];
 /// Port on which entries and agents listen.
 const MAIN_PORT: u16 = 7000;
-/// Port of health and metrics.
+/// Port for health and metrics.
 const ADMIN_PORT: u16 = 7001;
 /// Port on which agents listen behind a relay.
 const RELAYED_PORT: u16 = 7002;
 /// Port of upstreams.
 const UPSTREAM_PORT: u16 = 8000;
-/// Port whose listener marks a part of the addresses as used.
+/// Port that is bound to mark a subnet as in use.
 const LOCK_PORT: u16 = 6999;
-/// Parts of the loopback addresses that tests draw from.
-// Below are the demo, the soak, and tests that take fixed parts of 127.0.0.0/8.
+/// Second octets of the loopback subnets that tests may reserve.
+// Lower ones are used by the demo, the soak, and tests with fixed subnets of 127.0.0.0/8.
 const RESERVABLE_SUBNETS: RangeInclusive<u8> = 128..=220;
-/// Port of the platform's services.
+/// Port of the platform services.
 const PLATFORM_PORT: u16 = 7100;
 
-/// A deployment.
+/// A sample deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deployment {
     /// De Sleutelbos, be-vlaanderen.
@@ -32,7 +32,7 @@
     BlueMahoe,
 }
 
-/// Both deployments.
+/// All deployments.
 pub const ALL: [Deployment; 2] = [Deployment::Sleutelbos, Deployment::BlueMahoe];
 
 impl Deployment {
@@ -41,7 +41,7 @@
         ALL.into_iter().find(|d| d.name() == name)
     }
 
-    /// Its name on the command line.
+    /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Sleutelbos => "sleutelbos",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Second number of its loopback addresses, if no other is given.
+    /// Second octet of the default loopback subnet.
     pub fn subnet(self) -> u8 {
         match self {
             Self::Sleutelbos => 11,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Availability zones of its entries, one entry each.
+    /// Availability zones with an entry, one entry each.
     pub fn entry_zones(self) -> &'static [&'static str] {
         match self {
             Self::Sleutelbos => &["gent-zaal-a", "mechelen-zaal", "brussel-noord"],
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Its documents' texts on a part of the loopback addresses: the service
-    /// with engines first, then the plain one, with at most so many workers each.
+    /// Texts of the documents with addresses in a subnet and at most `workers` upstreams each:
+    /// the engine service first, then the plain service.
     pub fn documents(self, subnet: u8, workers: usize) -> [String; 2] {
         let own = format!("127.{subnet}.");
         let moved = |t: &str| {
@@ -90,9 +90,10 @@
         self.texts().map(|t| first_upstreams(&moved(t), workers))
     }
 
-    /// Its documents.
+    /// The parsed documents; see [`Self::documents`].
     pub fn docs(self, subnet: u8, workers: usize) -> [Doc; 2] {
-        let parse = |t: String| Doc::parse(&t).expect("samples are valid; a test reads them");
+        let parse =
+            |t: String| Doc::parse(&t).expect("sample documents are valid; a test parses them");
         self.documents(subnet, workers).map(parse)
     }
 }
@@ -101,46 +102,46 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, subnet, part, number)), port)
 }
 
-/// Where the entry of a number (from 0) listens.
+/// Address of the entry with an index, counted from 0.
 pub fn entry_addr(subnet: u8, number: usize) -> SocketAddr {
     addr(subnet, 1, number as u8 + 1, MAIN_PORT)
 }
 
-/// Where the table service is.
+/// Address of the table service.
 pub fn table_addr(subnet: u8) -> SocketAddr {
     addr(subnet, 2, 1, PLATFORM_PORT)
 }
 
-/// Where the object store is.
+/// Address of the object store.
 pub fn objects_addr(subnet: u8) -> SocketAddr {
     addr(subnet, 2, 2, PLATFORM_PORT)
 }
 
-/// Where the host list is.
+/// Address of the host list.
 pub fn hosts_addr(subnet: u8) -> SocketAddr {
     addr(subnet, 2, 3, PLATFORM_PORT)
 }
 
-/// The admin address of the process at an address.
+/// Admin address of the process that listens on an address.
 pub fn admin_addr(mut main: SocketAddr) -> SocketAddr {
     main.set_port(ADMIN_PORT);
     main
 }
 
-/// Where an agent listens whose own address is a relay's.
+/// Address on which an agent listens if its own address belongs to a relay.
 pub fn relayed_agent_addr(mut agent: SocketAddr) -> SocketAddr {
     agent.set_port(RELAYED_PORT);
     agent
 }
 
-/// The upstream behind the agent at an address.
+/// Address of the upstream of the agent at an address.
 pub fn upstream_addr(mut agent: SocketAddr) -> SocketAddr {
     agent.set_port(UPSTREAM_PORT);
     agent
 }
 
-/// Leaves only the first upstreams in a sample's text, where they stand last
-/// and one in a line.
+/// Keeps only the first upstreams of a sample document, in which `upstreams` is the last field
+/// and has one entry per line.
 fn first_upstreams(text: &str, workers: usize) -> String {
     let Some((head, list)) = text.split_once("upstreams:\n") else {
         return text.to_owned();
@@ -153,7 +154,7 @@
     format!("{head}upstreams:\n{kept}")
 }
 
-/// A part of the loopback addresses that no other run uses, while the lock lives.
+/// Reserves a loopback subnet that no other run uses, for as long as the returned listener lives.
 pub fn reserve_subnet() -> io::Result<(u8, TcpListener)> {
     let first = fastrand::u8(..);
     for step in 0..=u8::MAX {
@@ -164,6 +165,6 @@
         }
     }
     Err(io::Error::other(
-        "all parts of the loopback addresses are in use",
+        "all loopback subnets for tests are in use",
     ))
 }
--- a/crates/bench/src/driver.rs
+++ b/crates/bench/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carries a schedule of faults out on a site, and notes whom it excuses.
+//! Applies a fault schedule to a site and records which processes are exempt from checks.
 
 use crate::check::{AcceptedDocument, ExemptPeriod, History, LeavingPeriod};
 use crate::edit;
@@ -14,22 +14,23 @@
 use store::HostState;
 use tokio::task::JoinHandle;
 
-/// RequestKind a process needs after a start or a pause before it is judged, in milliseconds.
+/// Time that a process has after a start or a pause before it is checked, in milliseconds.
 const RECOVERY_GRACE_MS: u64 = 3_000;
-/// RequestKind the host list may lag over its setting.
+/// Allowance for the host list's lag beyond its configured value.
 const HOST_LIST_SLACK: Duration = Duration::from_millis(200);
 
-/// Carries a schedule out.
+/// Applies a fault schedule to a site.
 pub struct Driver<'a> {
     site: &'a mut Site,
     history: Arc<Mutex<History>>,
     edit_tasks: Vec<JoinHandle<()>>,
-    /// Faults whose process was told to stop and is to be started again once it
-    /// has ended. Other faults begin and end meanwhile: it may be waiting for one.
+    /// Faults whose process was told to stop and must be restarted once it has exited. Other
+    /// faults start and end in the meantime, because the process may depend on the end of one of
+    /// them to exit.
     stopping: Vec<Fault>,
 }
 
-/// One end of a fault.
+/// Start or end of a fault.
 struct ScheduleStep<'a> {
     at_ms: u64,
     planned: &'a ScheduledFault,
@@ -37,7 +38,7 @@
 }
 
 impl<'a> Driver<'a> {
-    /// A driver that notes what it does in a history.
+    /// Creates a driver that records its actions in a history.
     pub fn new(site: &'a mut Site, history: Arc<Mutex<History>>) -> Self {
         Self {
             site,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Carries a schedule out; prints each fault as it happens.
+    /// Applies a schedule and prints each fault as it starts.
     pub async fn drive(&mut self, schedule: &[ScheduledFault]) -> io::Result<()> {
         let mut steps: Vec<ScheduleStep<'_>> = Vec::new();
         for planned in schedule {
@@ -117,9 +118,9 @@
                 let host = self.site.workers[*at].upstream.host.clone();
                 self.end_leaving_period(*at);
                 self.site.hosts.set(&host, HostState::Live);
-                // An agent that still saw the old list would drain at once.
+                // An agent that reads the stale host list would drain again immediately.
                 tokio::time::sleep(self.site.host_list_lag() + HOST_LIST_SLACK).await;
-                // It drained by itself, unless it never heard of it.
+                // The agent has drained already, unless it never received the change.
                 self.site.workers[*at].agent.signal(Signal::Term);
                 self.stopping.push(fault.clone());
                 return Ok(());
@@ -138,8 +139,8 @@
         Ok(())
     }
 
-    /// Starts processes again that were stopped and have ended; waits for them
-    /// if `wait` is set.
+    /// Restarts processes that were told to stop and have exited. Waits for them to exit if
+    /// `wait` is set.
     async fn restart_ended(&mut self, wait: bool) -> io::Result<()> {
         for fault in std::mem::take(&mut self.stopping) {
             let process = match fault {
@@ -226,7 +227,7 @@
         }
         if let Fault::LeaveHost(at) | Fault::StopAgent(at) = fault {
             let host_list_only = matches!(fault, Fault::LeaveHost(_));
-            // The list itself says so only after its lag.
+            // The host list reports the change only after its lag.
             let lag = if host_list_only {
                 self.site.host_list_lag()
             } else {
@@ -277,7 +278,8 @@
         }
     }
 
-    /// Whom a fault excuses from following documents: `None` for nobody.
+    /// Process that a fault exempts from applying documents: `None` for no process, `Some(None)`
+    /// for all.
     fn exempt_process(&self, fault: &Fault) -> Option<Option<String>> {
         match fault {
             Fault::KillAgent(at)
--- a/crates/bench/src/edit.rs
+++ b/crates/bench/src/edit.rs
@@ -1,4 +1,4 @@
-//! Operators that race for a document.
+//! Concurrent edits of a document by several operators.
 
 use fakes::clock::now_ms;
 use std::path::Path;
@@ -6,23 +6,23 @@
 use store::rows::{doc_key, head_key};
 use store::{HttpPlatform, Row, Table, Txn, WriteError};
 
-/// Editors at once.
+/// Number of concurrent editors.
 const EDITORS: usize = 2;
-/// Looks at the row after a write whose outcome is unknown.
+/// Maximum number of reads of the row after a write with an unknown outcome.
 const MAX_READS: u32 = 30;
-/// Time between these looks.
+/// Interval between these reads.
 const READ_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Beginning of an editor's note in the document.
+/// Prefix of the comment that an editor adds to the document.
 const NOTE_PREFIX: &str = "# edited over ";
 
-/// Lets editors race once; gives versions that were accepted, and when their
-/// editor knew.
+/// Runs one race between the editors. Returns each accepted version with the time at which its
+/// editor learned of it, in milliseconds.
 pub async fn race(settings: &Path, service: &str) -> Vec<(u64, u64)> {
     let Some(table) = connect_table(settings) else {
         return Vec::new();
     };
-    // While the table service is down nobody can read, and nobody edits.
+    // No edit is possible while the table service is unavailable.
     let Ok(rows) = table.read(vec![doc_key(service)]).await else {
         return Vec::new();
     };
@@ -81,7 +81,8 @@
     None
 }
 
-/// A document with another note, and every third time another model version.
+/// Returns the document with a new comment and, if the version is a multiple of 3, with another
+/// model version.
 fn edited_text(text: &str, version: u64, editor: usize) -> String {
     let kept: Vec<&str> = text
         .lines()
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -1,4 +1,4 @@
-//! `faults`: a mixed load under random faults, judged by history.
+//! `faults`: runs a mixed load under random faults and checks the recorded history.
 
 use crate::check::{self, History, VersionSample};
 use crate::client::{Call, CallResult, Client};
@@ -22,27 +22,27 @@
 use tokio::task::JoinSet;
 use wire::Outcome;
 
-/// Requests a second.
+/// Request rate.
 const REQUESTS_PER_S: u32 = 25;
-/// Time between looks at the versions in force.
+/// Interval between samples of the versions in force.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after the last fault, for what is behind to catch up.
+/// Time after the last fault for processes to recover.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
-/// Workers of each service.
+/// Workers per service.
 const WORKERS_PER_SERVICE: usize = 3;
 const LIMITS: &str = "{record_flush: 2s, linger: 300ms, lease: 3s, idle_timeout: 4s, \
                       drain_bound: 20s, host_poll: 500ms}";
 
-/// RequestKind a run counted.
+/// Counts and violations of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct FaultsVerdict {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Requests that clients made.
+    /// Requests sent by clients.
     pub requests: u64,
-    /// Those that may not be repeated.
+    /// Non-idempotent requests among them.
     pub non_idempotent: u64,
-    /// Faults.
+    /// Scheduled faults.
     pub faults: u64,
     /// See [`check::conflicting_orders`].
     pub conflicting_orders: u64,
@@ -64,16 +64,16 @@
     pub config_reverts: u64,
     /// See [`check::config_late`].
     pub config_late: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Refused as not run.
+    /// Requests refused as not run.
     pub not_run: u64,
-    /// Refused as unknown, or no answer.
+    /// Requests refused as unknown, or without a valid answer.
     pub unknown: u64,
 }
 
 impl FaultsVerdict {
-    /// Violations of what must always hold.
+    /// Number of violated guarantees.
     pub fn violations(&self) -> u64 {
         self.conflicting_orders
             + self.cut_off
@@ -88,7 +88,7 @@
     }
 }
 
-/// Runs a schedule; prints each fault as it happens.
+/// Runs a generated schedule and prints each fault as it starts.
 pub async fn run(seed: u64, seconds: u64) -> io::Result<FaultsVerdict> {
     let binary = build_binary().await?;
     let (subnet, _lock) = reserve_subnet()?;
@@ -110,7 +110,7 @@
     site.wait_ready().await?;
     let calls = clients.await.map_err(io::Error::other)?;
     sampler.abort();
-    // Agents write the last ends of claims; nothing of it is judged here.
+    // Agents write the final rows of claims when they stop; these are not checked here.
     site.stop().await?;
     let mut history = history.lock().expect("no panic while locked").clone();
     history.calls = calls;
@@ -119,16 +119,22 @@
     Ok(judge(seed, faults, &history))
 }
 
-/// Prints what nobody should see, to look into it.
+/// Prints details of violations for debugging.
 fn print_violations(h: &History) {
     for r in h.runs.iter().filter(|r| check::is_late_work(h, r)) {
-        println!("late work at a leaving upstream: {r:?}, {:?}", h.leaving);
+        println!(
+            "late run at a leaving upstream: {r:?}, leaving periods: {:?}",
+            h.leaving
+        );
     }
     let wrong = |s: &&Call| matches!(s.result, CallResult::Crossed | CallResult::Truncated);
     for s in h.calls.iter().filter(wrong) {
         let what = format!("{:?}", s.request.kind);
         let short: String = what.chars().take(200).collect();
-        println!("{:?} to {:?}: {} {short}", s.result, s.id, s.request.class);
+        println!(
+            "wrong answer {:?} to request {:?} of class {}: {short}",
+            s.result, s.id, s.request.class
+        );
     }
 }
 
@@ -138,7 +144,7 @@
     options.workers = WORKERS_PER_SERVICE;
     options.relays = true;
     options.limits = LIMITS.to_owned();
-    // Half of the runs have engines that ignore fencing numbers.
+    // Engines ignore fencing numbers in runs with an odd seed.
     let fencing = seed.is_multiple_of(2);
     options.rates = Rates {
         step: Duration::from_millis(5),
@@ -149,8 +155,8 @@
     options
 }
 
-/// Sends the mix. A client whose entry refuses the connection goes to another,
-/// as the platform's balancer would.
+/// Sends requests of the mix. If an entry refuses the connection, the request goes to the next
+/// one, as it would behind the platform's load balancer.
 async fn send_requests(entries: Vec<SocketAddr>, length: Duration, seed: u64) -> Vec<Call> {
     let clients: Vec<Client> = entries.into_iter().map(Client::new).collect();
     let mut mix = Mix::new(Deployment::Sleutelbos, seed);
@@ -177,12 +183,12 @@
     }
     let mut calls = Vec::new();
     while let Some(call) = tasks.join_next().await {
-        calls.extend(call.expect("clients don't panic"));
+        calls.extend(call.expect("client tasks don't panic"));
     }
     calls
 }
 
-/// A process to be asked for its versions.
+/// Name and admin address of a process whose versions are sampled.
 type Target = (String, SocketAddr);
 
 fn sample_targets(site: &Site) -> Vec<Target> {
@@ -198,7 +204,7 @@
         async move {
             loop {
                 tokio::time::sleep(SAMPLE_INTERVAL).await;
-                // A process that is down or paused says nothing.
+                // A process that is down or paused does not answer.
                 let Ok(seen) = document_versions(admin).await else {
                     continue;
                 };
--- a/crates/bench/src/gateway.rs
+++ b/crates/bench/src/gateway.rs
@@ -1,5 +1,5 @@
-//! RequestKind a gateway costs: processor time a request, and the time it adds over
-//! calling the same worker straight, interleaved in one run.
+//! Measures the cost of a gateway: processor time per request, and added latency compared to
+//! direct requests to the same worker, interleaved in one run.
 
 use crate::procs::{Proc, build_binary};
 use crate::usage;
@@ -12,34 +12,35 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Where the gateway and its stand-ins listen.
+/// Address of the gateway and its stand-ins.
 const HOST: Ipv4Addr = Ipv4Addr::new(127, 67, 0, 1);
-/// Events of a streamed answer, as in the users' prompts with short answers.
+/// Events per streamed answer, as for the users' prompts with short answers.
 const STREAM_EVENTS: u64 = 2;
-/// Requests before the measurement, so that connections are open.
+/// Requests before the measurement, to open connections.
 const WARM_UP: usize = 200;
-/// Longest wait for the gateway's first answer.
+/// Timeout for the gateway's first successful answer.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Figures of one kind of request.
+/// Measurements for one kind of request.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figures {
-    /// RequestKind was sent.
+    /// Kind of request.
     pub kind: &'static str,
-    /// Requests through the gateway; as many went straight.
+    /// Requests through the gateway; the same number is sent directly.
     pub requests: usize,
-    /// Processor time of the gateway a request, in milliseconds.
+    /// Processor time of the gateway per request in milliseconds.
     pub cpu_ms: f64,
-    /// Median time through the gateway, in milliseconds.
+    /// Median latency through the gateway in milliseconds.
     pub through_ms: f64,
-    /// Median time straight to the worker, in milliseconds.
+    /// Median latency of direct requests to the worker in milliseconds.
     pub straight_ms: f64,
-    /// Resident memory of the gateway after it, in MiB.
+    /// Resident memory of the gateway after the run in MiB.
     pub resident_mib: f64,
 }
 
-/// Measures plain and streamed requests with bodies of a size. Where `has_suspect`, an
-/// upstream has ended under another request, so that each request is hashed and looked up.
+/// Measures plain and streamed requests with a body of `body` bytes. If `has_suspect` is set, an
+/// upstream first ends during another request, so that the gateway hashes and looks up each
+/// request.
 pub async fn run(requests: usize, body: usize, has_suspect: bool) -> io::Result<Vec<Figures>> {
     let at = |port| SocketAddr::new(IpAddr::V4(HOST), port);
     let store = Store::start(at(7003))?;
@@ -69,13 +70,14 @@
     Ok(out)
 }
 
-/// RequestKind is sent.
+/// Requests to send.
 struct Load {
     requests: usize,
     body: String,
 }
 
-/// Lets the upstream break off one request, which the gateway takes for its end.
+/// Makes the upstream close the connection during one request, which the gateway treats as its
+/// end.
 async fn break_one_request(upstream: &Worker, gateway: SocketAddr) -> io::Result<()> {
     const SETTLE_TIME: Duration = Duration::from_millis(500);
     upstream.script([Act::Close]);
@@ -98,7 +100,9 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(io::Error::other("the gateway doesn't serve"))
+    Err(io::Error::other(
+        "the gateway did not start serving in time",
+    ))
 }
 
 async fn measure(
@@ -145,7 +149,7 @@
     times[times.len() / 2].as_secs_f64() * 1000.0
 }
 
-/// Sends a request and reads its answer, by length or to the last chunk.
+/// Sends a request and reads the answer up to its last bytes.
 async fn exchange(tcp: &mut TcpStream, path: &str, body: &str) -> io::Result<String> {
     let id = format!("{:016x}", fastrand::u64(..));
     tcp.write_all(request("POST", path, &id, "", body).as_bytes())
@@ -155,7 +159,8 @@
         if tcp.read_buf(&mut buf).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        // The plain answer's body is the id, a refusal's ends so.
+        // A streamed answer ends with the last chunk, a plain one with the request ID, and a
+        // refusal with the end of a JSON string and object.
         let ends: [&[u8]; 3] = [b"0\r\n\r\n", id.as_bytes(), b"\"}"];
         if ends.iter().any(|end| buf.ends_with(end)) {
             return Ok(String::from_utf8_lossy(&buf).into_owned());
--- a/crates/bench/src/gather.rs
+++ b/crates/bench/src/gather.rs
@@ -1,9 +1,9 @@
-//! Gathers what the stand-ins saw into a history.
+//! Collects the records of the stand-ins into a history.
 
 use crate::check::{History, ObservedRun};
 use crate::site::{Site, UpstreamStandin};
 
-/// Reads the histories of a site's stand-ins.
+/// Adds the records of a site's stand-ins to a history.
 pub fn read_standins(site: &Site, h: &mut History) {
     h.rows = site.table.history().written;
     for w in &site.workers {
--- a/crates/bench/src/inforce.rs
+++ b/crates/bench/src/inforce.rs
@@ -1,4 +1,4 @@
-//! `inforce`: the time from `apply` until a document is in force everywhere.
+//! `inforce`: measures the time from `apply` until a document is in force in all processes.
 
 use crate::deploy::{Deployment, admin_addr, reserve_subnet};
 use crate::procs::build_binary;
@@ -9,30 +9,30 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time between looks at a process.
+/// Interval between polls of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest wait for a document to be in force.
+/// Timeout for a document to come into force.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// RequestKind was measured.
+/// Results of the measurement.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Measured {
-    /// Changes made.
+    /// Number of changes.
     pub changes: u32,
-    /// Processes that had to follow each.
+    /// Number of processes that had to apply each change.
     pub processes: usize,
-    /// Median time until all had it, in milliseconds, from the end of `apply`.
+    /// Median time from the end of `apply` until all processes had the document, in milliseconds.
     pub median_ms: u64,
-    /// Longest such time.
+    /// Longest such time in milliseconds.
     pub most_ms: u64,
-    /// Reads of the table service for each change, polls included.
+    /// Reads of the table service per change, including polls.
     pub reads_per_change: f64,
-    /// Reads that the polls alone would have cost in that time.
+    /// Reads per change that polling alone would cause in the same time.
     pub polls_per_change: f64,
 }
 
-/// Applies changes one after another with the default polls and no requests, so
-/// that nothing but the polls brings documents to processes.
+/// Applies changes one after another with default settings and without requests, so that
+/// processes learn of documents only by polling.
 pub async fn run(changes: u32) -> io::Result<Measured> {
     let (subnet, _lock) = reserve_subnet()?;
     let mut options = Options::new(build_binary().await?, Deployment::Sleutelbos);
@@ -73,7 +73,7 @@
     })
 }
 
-/// The version in what `apply` said, whether it was accepted or refused.
+/// Parses the version from the output of `apply`, whether it accepted or refused the document.
 fn parse_version(text: &str) -> u64 {
     let mut words = text
         .split_whitespace()
@@ -91,5 +91,7 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(io::Error::other("a document didn't come into force"))
+    Err(io::Error::other(
+        "the document did not come into force in time",
+    ))
 }
--- a/crates/bench/src/judge.rs
+++ b/crates/bench/src/judge.rs
@@ -1,4 +1,6 @@
-//! Compares what clients got with what upstreams saw. The product is not asked.
+//! Computes the verdict of a run from the records of clients and upstreams.
+//!
+//! Reports of the system under test itself are not used.
 
 use crate::check::{self, History};
 use crate::client::{Call, CallResult};
@@ -10,35 +12,35 @@
 /// Counts of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Requests that clients made.
+    /// Requests sent by clients.
     pub requests: u64,
-    /// Answered in whole, begun within the deadline.
+    /// Complete answers that began within the deadline.
     pub served: u64,
-    /// Refused as not run.
+    /// Requests refused as not run.
     pub refused: u64,
-    /// Answered in whole, begun after the deadline.
+    /// Complete answers that began after the deadline.
     pub delayed: u64,
-    /// Refused as unknown, or no answer at all.
+    /// Requests refused as unknown, or without a valid answer.
     pub unknown: u64,
-    /// Answers to something else.
+    /// Answers that belong to another request.
     pub crossed: u64,
-    /// Answers that aren't whole and don't say so.
+    /// Incomplete answers that do not report an error.
     pub truncated: u64,
-    /// Non-idempotent calls that ran more than once.
+    /// Repeated runs of non-idempotent requests.
     pub double_runs: u64,
     /// Requests refused as not run that ran.
     pub false_not_run: u64,
-    /// Requests that clients made and no report has.
+    /// Requests that are in no report.
     pub lost_records: u64,
 }
 
 impl Verdict {
-    /// Violations of what must always hold.
+    /// Number of violated guarantees.
     pub fn violations(&self) -> u64 {
         self.crossed + self.truncated + self.double_runs + self.false_not_run
     }
 
-    /// Adds another run's counts.
+    /// Adds the counts of another run.
     pub fn add(&mut self, o: &Self) {
         self.requests += o.requests;
         self.served += o.served;
@@ -53,7 +55,7 @@
     }
 }
 
-/// Judges a run by the same rules as the faults bench.
+/// Evaluates a history by the same rules as the `faults` command.
 pub fn judge(h: &History, docs: &[Doc]) -> Verdict {
     let mut v = Verdict {
         requests: h.calls.len() as u64,
@@ -86,7 +88,7 @@
         .is_some_and(|(c, first)| first > c.deadline)
 }
 
-/// Whether a request is a non-idempotent call of the mix.
+/// Whether a request of the mix is non-idempotent.
 pub fn is_non_idempotent(s: &Call) -> bool {
     matches!(&s.request.kind, RequestKind::Plain { method: "POST", .. })
 }
--- a/crates/bench/src/keys.rs
+++ b/crates/bench/src/keys.rs
@@ -1,5 +1,5 @@
-//! RequestKind tenants cost a gateway: decoding a version of the configuration, preparing it for
-//! lookup, looking a key up, and telling and reporting usage.
+//! Measures the cost of tenants in a gateway: decoding and preparing a configuration, looking up
+//! API keys, and exchanging and reporting usage.
 
 use crate::usage;
 use gateway::duty::usage::message::Message;
@@ -13,47 +13,47 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-/// Keys of a tenant.
+/// API keys per tenant.
 const KEYS_PER_TENANT: usize = 2;
-/// Lookups that are timed.
+/// Number of timed lookups.
 const LOOKUPS: usize = 1_000_000;
-/// Tenants of the answer about usage that is measured.
+/// Tenants in the measured usage message.
 const ANSWER_TENANTS: usize = 100;
-/// Versions that are put in force one after the other.
+/// Configuration versions that are loaded one after another.
 const RELOADS: u32 = 20;
 
-/// RequestKind was measured.
+/// Results of the measurement.
 #[derive(Debug, Clone, Serialize)]
 pub struct Measured {
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Keys of all of them.
+    /// Number of API keys of all tenants.
     pub keys: usize,
-    /// Bytes of the configuration as the store gives it.
+    /// Size of the configuration in the store, in bytes.
     pub config_bytes: usize,
     /// Time to decode a version.
     pub decode_ms: f64,
-    /// Time to prepare a version for lookup, in which one tenant has changed.
+    /// Time to prepare a version for lookups if one tenant has changed.
     pub prepare_ms: f64,
-    /// Time of a lookup, from the key as it was sent to its tenant.
+    /// Time of a lookup, from the key as sent to its tenant.
     pub lookup_ns: f64,
-    /// Memory that one version takes.
+    /// Memory used per version.
     pub memory_mb: f64,
-    /// Bytes of an answer about usage without any request, and with one for each of so many
-    /// tenants.
+    /// Size in bytes of a usage message without requests, and of one with a request for each of
+    /// `answer_tenants` tenants.
     pub answer_bytes: [usize; 2],
-    /// Tenants of that answer.
+    /// Tenants in the second usage message.
     pub answer_tenants: usize,
-    /// Bytes of a report of usage for each tenant that it tells of.
+    /// Size of a usage report per tenant, in bytes.
     pub report_bytes_each: f64,
 }
 
-/// Measures with so many tenants.
+/// Runs the measurement with a number of tenants.
 pub fn run(tenants: usize) -> serde_json::Result<Measured> {
     let text = configuration(1, tenants, 0);
     let config_bytes = text.len();
     let first = RouteTable::new(Config::parse(text.as_bytes())?, &mut Fleet::default(), None);
-    // All are kept, so that what one takes shows.
+    // All versions are kept, so that the growth in memory shows the size of one.
     let mut tables = vec![first];
     let before = resident_mb();
     let (mut decode, mut prepare) = (Duration::ZERO, Duration::ZERO);
@@ -93,7 +93,7 @@
     })
 }
 
-/// Bytes of an answer with one request for each of so many tenants.
+/// Size of a usage message with one request for each tenant.
 fn answer_bytes(tenants: usize) -> usize {
     let now = Instant::now();
     let mut log = RequestLog::new(u32::MAX, || 1_800_000_000_000);
@@ -118,7 +118,7 @@
     format!("tenant-{n}")
 }
 
-/// A configuration in which the first key of one tenant differs from that of the first
+/// Configuration in which the first key of tenant `changed` differs from its key in the first
 /// version.
 fn configuration(version: u64, tenants: usize, changed: usize) -> String {
     let tenant = |n: usize| {
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,6 +1,8 @@
-//! RequestKind tests and the bench share: a whole system of real processes on loopback
-//! addresses with stand-ins around it, clients that check what they get, and a
-//! judge that compares the clients' histories with the stand-ins'.
+//! Test and measurement support for the whole system on loopback addresses.
+//!
+//! The system's processes run against stand-ins for the platform and the upstreams. Clients
+//! verify the responses they receive, and the records of clients and stand-ins are compared
+//! afterwards.
 
 pub mod capacity;
 pub mod check;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,8 +1,7 @@
-//! `load`: throughput, and the time that the product adds.
+//! `load`: measures throughput and the latency that the system adds.
 //!
-//! Requests alternate: one through an entry, one straight to an engine. Both
-//! kinds are spread over the same time and the same engines, so that what the
-//! machine does meanwhile falls on both alike.
+//! Requests alternate between an entry and a direct call of an engine. Both kinds are spread over
+//! the same time and the same engines, so that other activity of the machine affects both alike.
 
 use crate::client::{Call, CallResult, Client};
 use crate::deploy::{Deployment, entry_addr, upstream_addr};
@@ -21,49 +20,49 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Longest time that the histograms tell apart, in microseconds.
+/// Upper bound of the histograms, in microseconds.
 const MAX_US: u64 = 120_000_000;
-/// Longest wait for an engine.
+/// Timeout for connecting to an engine.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Most requests of one run.
+/// Maximum number of requests per run.
 const MAX_REQUESTS: u64 = 200_000;
-/// Time for rates to be learned and connections to be opened, not counted.
+/// Time for learning rates and opening connections, excluded from the results.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// RequestKind to send.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
-    /// Requests a second through the entry; as many go straight to engines.
+    /// Requests per second through the entry; the same number goes directly to engines.
     pub rate: u32,
-    /// How long.
+    /// Duration in seconds.
     pub seconds: u32,
-    /// Tokens of each answer.
+    /// Tokens per answer.
     pub tokens: u32,
-    /// Bytes of each prompt.
+    /// Bytes per prompt.
     pub prompt: usize,
-    /// Step of the engines in milliseconds, when they are started here.
+    /// Duration of an engine step in milliseconds, if the engines are started here.
     pub step_ms: u64,
-    /// Start a system with one entry, instead of using the one of `up`.
+    /// Whether to start a system with one entry instead of using that of `up`.
     pub start: bool,
 }
 
 /// Quantiles of a time, in milliseconds.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Times {
-    /// Half are at most this.
+    /// 50th percentile.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// Times of one kind of requests.
+/// Results for one kind of request.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Side {
-    /// Whole answers.
+    /// Complete answers.
     pub whole: u64,
-    /// Everything else.
+    /// All other results.
     pub failed: u64,
     /// Time to the first token.
     pub first_ms: Times,
@@ -71,26 +70,26 @@
     pub between_ms: Times,
 }
 
-/// RequestKind a run measured.
+/// Results of a run.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Measured {
-    /// Requests a second that were answered through the entry.
+    /// Requests per second answered through the entry.
     pub requests_per_s: f64,
-    /// Tokens a second through the entry.
+    /// Tokens per second through the entry.
     pub tokens_per_s: f64,
-    /// Through the entry.
+    /// Requests through the entry.
     pub through: Side,
-    /// DirectTiming to an engine.
+    /// Requests sent directly to an engine.
     pub straight: Side,
-    /// Median of first token through, less that of straight.
+    /// Difference between the median times to the first token.
     pub added_first_ms: f64,
-    /// Median between tokens through, less that of straight.
+    /// Difference between the median times between tokens.
     pub added_between_ms: f64,
-    /// Part of a core that the entry used, if it was started here.
+    /// Processor cores used by the entry, if it was started here.
     pub entry_cores: Option<f64>,
-    /// Part of a core that an agent used at the mean, if started here.
+    /// Mean number of processor cores used per agent, if they were started here.
     pub agent_cores: Option<f64>,
-    /// The entry's memory in MB, if it was started here.
+    /// Resident memory of the entry in MB, if it was started here.
     pub entry_mb: Option<f64>,
 }
 
@@ -103,7 +102,7 @@
 
 impl Samples {
     fn new() -> Self {
-        let new = || Histogram::new_with_max(MAX_US, 3).expect("valid bounds");
+        let new = || Histogram::new_with_max(MAX_US, 3).expect("the bounds are valid");
         Self {
             whole: 0,
             failed: 0,
@@ -146,7 +145,7 @@
     }
 }
 
-/// Runs a load.
+/// Runs a load and returns its results.
 pub async fn run(options: &LoadOptions) -> io::Result<Measured> {
     let deployment = Deployment::Sleutelbos;
     if !options.start {
@@ -179,7 +178,7 @@
     agents: &[u32],
 ) -> io::Result<Measured> {
     let Kind::Engine(model) = &doc.kind else {
-        return Err(io::Error::other("no engines"));
+        return Err(io::Error::other("the document describes no engines"));
     };
     let engines: Vec<SocketAddr> = doc
         .upstreams
@@ -252,7 +251,7 @@
                 chat: false,
                 stream: true,
             };
-            // Spread over tenants, so that no tenant's limit is measured.
+            // Requests are spread over tenants, so that no tenant reaches its limit.
             let tenant = format!("tenant-{}", n % 500);
             let request = ClientRequest {
                 service: "taalmodel-dossier",
@@ -269,7 +268,7 @@
     }
     let (mut through, mut direct) = (Samples::new(), Samples::new());
     while let Some(done) = tasks.join_next().await {
-        match done.expect("clients don't panic") {
+        match done.expect("client tasks don't panic") {
             Finished::Through(s) => through.add(
                 s.first_byte,
                 &s.token_gaps,
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The bench: demo, a system to try, and measurements.
+//! Command line of the bench: the demo, a system for manual tests, and measurements.
 
 use argh::FromArgs;
 use bench::load::LoadOptions;
@@ -28,119 +28,120 @@
     Keys(KeysArgs),
 }
 
-/// run both deployments under a mixed load, kill and drain agents, and judge what clients got
+/// run both deployments under a mixed load, kill and drain agents, and check the answers
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct DemoArgs {}
 
-/// measure how long many gateways take to serve after all were killed
+/// measure how long many gateways take to serve again after all of them were killed
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "recover")]
 struct RecoverArgs {
-    /// gateways; the default is 190
+    /// number of gateways; the default is 190
     #[argh(option, default = "190")]
     hosts: usize,
-    /// upstreams in the registry; the default is 3,000
+    /// number of upstreams in the registry; the default is 3,000
     #[argh(option, default = "3000")]
     upstreams: usize,
 }
 
-/// measure what tenants' keys cost a gateway
+/// measure the cost of API keys of tenants in a gateway
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "keys")]
 struct KeysArgs {
-    /// tenants, with two keys each; the default is 28,000
+    /// number of tenants, with two keys each; the default is 28,000
     #[argh(option, default = "28_000")]
     tenants: usize,
 }
 
-/// measure what a gateway costs a request, against calling its worker straight
+/// measure the cost of a gateway per request, compared to direct requests to its worker
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "gateway")]
 struct GatewayArgs {
-    /// requests of each kind (default 10000)
+    /// number of requests of each kind (default 10000)
     #[argh(option, default = "10_000")]
     requests: usize,
-    /// bytes of each request's body (default 608)
+    /// bytes of each request body (default 608)
     #[argh(option, default = "608")]
     body: usize,
-    /// let an upstream end under another request first, so that each is looked up
+    /// make an upstream end during another request first, so that each request is looked up
     #[argh(switch)]
     suspect: bool,
 }
 
-/// run both deployments until Ctrl-C, and print lines to try
+/// run both deployments until Ctrl-C, and print example commands
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "up")]
 struct UpArgs {}
 
-/// measure throughput, token times, and the time that the product adds over an engine itself
+/// measure throughput, token times, and the latency added to that of a direct engine call
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "load")]
 struct LoadArgs {
-    /// requests a second through the entry; as many go straight to engines (default 20)
+    /// requests per second through the entry; the same number goes directly to engines (default
+    /// 20)
     #[argh(option, default = "20")]
     rate: u32,
-    /// how long, in seconds (default 10)
+    /// duration in seconds (default 10)
     #[argh(option, default = "10")]
     seconds: u32,
-    /// tokens of each answer (default 60)
+    /// tokens per answer (default 60)
     #[argh(option, default = "60")]
     tokens: u32,
-    /// bytes of each prompt (default 400)
+    /// bytes per prompt (default 400)
     #[argh(option, default = "400")]
     prompt: usize,
-    /// start a system with one entry, instead of using the one that `up` runs
+    /// start a system with one entry, instead of using that of `up`
     #[argh(switch)]
     start: bool,
-    /// step of the engines in milliseconds, with --start (default 5)
+    /// duration of an engine step in milliseconds, with --start (default 5)
     #[argh(option, default = "5")]
     step_ms: u64,
 }
 
-/// measure what each role costs as a function of the system's size, and print the slopes as JSON
+/// measure the cost of each role as a function of the system's size, and print the slopes as JSON
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "slopes")]
 struct SlopesArgs {
     /// measure only this variable: agents, entries, requests, tenants, documents or changes
     #[argh(option)]
     only: Option<String>,
-    /// seconds of each measurement (default 8)
+    /// seconds per measurement (default 8)
     #[argh(option, default = "8")]
     seconds: u32,
 }
 
-/// run a mixed load under random faults and judge the history; a seed gives the same schedule
+/// run a mixed load under random faults and check the history; a seed determines the schedule
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "faults")]
 struct FaultsArgs {
-    /// seed of the schedule and the mix
+    /// seed of the schedule and the request mix
     #[argh(option)]
     seed: u64,
-    /// how long faults go on, in seconds (default 60)
+    /// duration of the faults in seconds (default 60)
     #[argh(option, default = "60")]
     seconds: u64,
 }
 
-/// work the capacity page's rows out anew from docs/slopes.json, and print them as a table
+/// recompute the rows of the capacity page from docs/slopes.json, and print them as a table
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "capacity")]
 struct CapacityArgs {}
 
-/// measure the time from apply until a document is in force on every process
+/// measure the time from apply until a document is in force in every process
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "inforce")]
 struct InforceArgs {
-    /// changes to make (default 20)
+    /// number of changes (default 20)
     #[argh(option, default = "20")]
     changes: u32,
 }
 
-/// measure what is served before, in and after an outage of the platform's stores
+/// measure the answers before, during and after an outage of the platform's stores
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "outage")]
 struct OutageArgs {
-    /// length of the outage in seconds (default 60)
+    /// duration of the outage in seconds (default 60)
     #[argh(option, default = "60")]
     seconds: u64,
 }
@@ -158,7 +159,7 @@
     }
 }
 
-/// Runs a command; gives whether what must hold held.
+/// Runs a command; returns false if a guarantee or the measurement failed.
 async fn run(command: Command) -> io::Result<bool> {
     match command {
         Command::Demo(_) => {
--- a/crates/bench/src/mix.rs
+++ b/crates/bench/src/mix.rs
@@ -1,56 +1,56 @@
-//! The users' requests.
+//! Random requests that resemble those of the two deployments.
 
 use crate::deploy::Deployment;
 use fastrand::Rng;
 
-/// A request as a client makes it.
+/// A request of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// The service.
+    /// Name of the service.
     pub service: &'static str,
-    /// The class.
+    /// Request class.
     pub class: &'static str,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// RequestKind is asked for.
+    /// Contents of the request.
     pub kind: RequestKind,
 }
 
-/// RequestKind is asked for.
+/// Contents of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A completion.
+    /// A completion by an engine.
     Completion {
-        /// The prompt.
+        /// Prompt text.
         prompt: String,
-        /// Tokens wanted.
+        /// Number of requested tokens.
         tokens: u32,
-        /// By the chat form of the API.
+        /// Whether to use the chat endpoint.
         chat: bool,
-        /// Streamed.
+        /// Whether to stream the answer.
         stream: bool,
     },
-    /// A plain call.
+    /// A request to a plain service.
     Plain {
-        /// The method.
+        /// HTTP method.
         method: &'static str,
-        /// The path, without the service.
+        /// Path, without the service.
         path: String,
-        /// The body.
+        /// Request body.
         body: String,
-        /// The client's key.
+        /// Idempotency key, if any.
         key: Option<String>,
     },
 }
 
-/// Tenants of the mix.
+/// Number of tenants.
 const TENANTS: u64 = 24;
-/// Dossiers and ledgers that are read again and again.
+/// Number of long texts that prompts share as a prefix.
 const DOSSIERS: u64 = 40;
-/// One in so many non-idempotent calls repeats the key of the one before.
+/// One in this many non-idempotent requests repeats the previous one that had a key.
 const REPEAT_EVERY: u64 = 12;
 
-/// Draws requests of a deployment.
+/// Generates random requests for a deployment.
 #[derive(Debug)]
 pub struct Mix {
     deployment: Deployment,
@@ -61,7 +61,7 @@
 }
 
 impl Mix {
-    /// A mix from a seed.
+    /// Creates a generator from a seed.
     pub fn new(deployment: Deployment, seed: u64) -> Self {
         let salt = format!("{}-{seed}", deployment.name());
         Self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Draws a request.
+    /// Generates the next request.
     pub fn next_request(&mut self) -> ClientRequest {
         self.generated += 1;
         match (self.deployment, self.rng.u32(..100)) {
@@ -179,7 +179,7 @@
         {
             return last.clone();
         }
-        // Some clients give no key: theirs must run at most once all the same.
+        // Some requests have no key; these must run at most once, too.
         let key = (self.rng.u32(..5) > 0).then(|| format!("{}-{}", self.salt, self.generated));
         let body = format!("{{\"order\":{},\"of\":\"{}\"}}", self.generated, self.salt);
         let kind = RequestKind::Plain {
--- a/crates/bench/src/outage.rs
+++ b/crates/bench/src/outage.rs
@@ -1,5 +1,5 @@
-//! `outage`: what is served before, in and after an outage of the table service
-//! and the object store, and how hard their recovery is hit.
+//! `outage`: measures the answers before, during and after an outage of the table service and the
+//! object store, and the call rate when they recover.
 
 use crate::client::{Call, CallResult, Client};
 use crate::deploy::{Deployment, reserve_subnet};
@@ -16,43 +16,43 @@
 use tokio::task::JoinSet;
 use wire::Outcome;
 
-/// Requests a second.
+/// Request rate.
 const REQUESTS_PER_S: u32 = 30;
-/// Time between counts of the platform's tasks.
+/// Interval over which calls of the platform are counted.
 const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One part of the run.
+/// Results of one phase of the run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Part {
-    /// Requests that may be repeated.
+    /// Idempotent requests.
     pub idempotent: u64,
-    /// Those of them that were answered.
+    /// Idempotent requests that were answered.
     pub idempotent_answered: u64,
-    /// Requests that may not be repeated.
+    /// Non-idempotent requests.
     pub non_idempotent: u64,
-    /// Those of them that were answered.
+    /// Non-idempotent requests that were answered.
     pub non_idempotent_answered: u64,
-    /// Those of them that were refused as not run.
+    /// Non-idempotent requests that were refused as not run.
     pub non_idempotent_not_run: u64,
-    /// Most tasks of the table service and writes of the object store in a
-    /// second, failed ones not counted.
+    /// Highest number of calls of the table service and writes of the object store per second,
+    /// without failed ones.
     pub most_platform_calls: u64,
 }
 
-/// RequestKind was measured.
+/// Results of the measurement.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Measured {
-    /// Before the outage.
+    /// Phase before the outage.
     pub before: Part,
-    /// In it.
+    /// Phase of the outage.
     pub during: Part,
-    /// After it, as long as before.
+    /// Phase after the outage, as long as the one before.
     pub after: Part,
     /// Requests without a record at the end.
     pub lost_records: u64,
 }
 
-/// Runs with an outage of so many seconds.
+/// Runs the measurement with an outage of `seconds` seconds.
 pub async fn run(seconds: u64) -> io::Result<Measured> {
     let (subnet, _lock) = reserve_subnet()?;
     let mut options = Options::new(build_binary().await?, Deployment::Sleutelbos);
--- a/crates/bench/src/probe.rs
+++ b/crates/bench/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whether a gateway wait_serving, status_line as a client would.
+//! Probes a gateway with client requests until it serves.
 
 use standin::fixture::request;
 use std::io;
@@ -7,10 +7,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Pause between two questions.
+/// Interval between probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until a gateway takes connections and answers one with success.
+/// Waits until a gateway answers a request with status 200.
 pub async fn wait_serving(at: SocketAddr, extra_headers: &str) {
     let text = request("GET", "/safe/", "probe", extra_headers, "");
     loop {
--- a/crates/bench/src/procs.rs
+++ b/crates/bench/src/procs.rs
@@ -1,4 +1,4 @@
-//! Processes of the system, started and ended by the bench.
+//! Processes of the system under test, started and stopped by the bench.
 
 use standin::fixture::SETTINGS_VARIABLE;
 use std::fs::File;
@@ -8,41 +8,42 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 
-/// Longest wait for a process that was told to stop.
+/// Timeout for a process to exit after a signal.
 const STOP_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// A process that the bench started. It is killed when this is dropped.
+/// A child process, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct Proc {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
     child: Child,
 }
 
-/// RequestKind is sent to a process.
+/// Signal to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// Stop gracefully.
+    /// Graceful stop.
     Term,
-    /// End at once.
+    /// Immediate end.
     Kill,
     /// Pause.
     Pause,
-    /// Go on after a pause.
+    /// Continuation after a pause.
     Resume,
-    /// Read the settings again.
+    /// Reload of the settings.
     Hangup,
 }
 
 impl Proc {
-    /// Starts the binary's `command` with a settings file; its log goes beside it.
+    /// Starts a `command` of the binary with a settings file; the log is written next to that
+    /// file.
     pub fn start(binary: &Path, command: &str, name: &str, settings: &Path) -> io::Result<Self> {
         let mut run = Command::new(binary);
         run.arg(command).arg("--settings").arg(settings);
         Self::spawn(run, name, settings)
     }
 
-    /// Starts a gateway, whose settings file is named by a variable.
+    /// Starts a gateway, which receives its settings file in an environment variable.
     pub fn start_gateway(binary: &Path, name: &str, settings: &Path) -> io::Result<Self> {
         let mut run = Command::new(binary);
         run.arg("gateway").env(SETTINGS_VARIABLE, settings);
@@ -66,7 +67,7 @@
         })
     }
 
-    /// The process's id, while it runs.
+    /// Process ID, while the process runs.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
@@ -81,50 +82,53 @@
             Signal::Hangup => libc::SIGHUP,
         };
         if let Some(id) = self.child.id() {
-            // SAFETY: kill takes plain numbers; the id is of our own child, which
-            // has not been waited for, so it can't be another process's yet.
+            // SAFETY: kill takes plain numbers. The ID belongs to our own child, which has not
+            // been reaped, so it cannot have been reused.
             unsafe { libc::kill(id as libc::pid_t, number) };
         }
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for the process to end.
+    /// Waits for the process to exit.
     pub async fn wait(&mut self) -> io::Result<ExitStatus> {
         match tokio::time::timeout(STOP_TIMEOUT, self.child.wait()).await {
             Ok(status) => status,
-            Err(_) => Err(io::Error::other(format!("{} doesn't end", self.name))),
+            Err(_) => Err(io::Error::other(format!(
+                "{} did not exit in time",
+                self.name
+            ))),
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for it to exit.
     pub async fn kill(&mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::Kill);
         self.wait().await
     }
 
-    /// Stops the process gracefully and waits for its end.
+    /// Stops the process gracefully and waits for it to exit.
     pub async fn stop(&mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::Term);
         self.wait().await
     }
 }
 
-/// Output of a command that has ended.
+/// Output of a command that has exited.
 #[derive(Debug, Clone)]
 pub struct Output {
-    /// The exit code.
+    /// Exit code.
     pub code: Option<i32>,
-    /// RequestKind it printed.
+    /// Standard output.
     pub stdout: String,
-    /// RequestKind it complained of.
+    /// Standard error.
     pub stderr: String,
 }
 
-/// Runs one of the operators' commands to its end.
+/// Runs an operator command to completion.
 pub async fn run_command(binary: &Path, args: &[&str]) -> io::Result<Output> {
     let out = Command::new(binary)
         .args(args)
@@ -138,12 +142,12 @@
     })
 }
 
-/// Builds the shipped binary as this bench was built, and gives its path.
+/// Builds the arbutusquay binary in the same profile as this program and returns its path.
 pub async fn build_binary() -> io::Result<PathBuf> {
     let here = std::env::current_exe()?;
-    // Tests stand one folder below the programs.
+    // Test binaries are in the subdirectory `deps`.
     let dir = here.ancestors().skip(1).find(|d| !d.ends_with("deps"));
-    let dir = dir.ok_or_else(|| io::Error::other("no folder"))?;
+    let dir = dir.ok_or_else(|| io::Error::other("can't determine the build directory"))?;
     let release = dir.file_name().is_some_and(|n| n == "release");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut build = Command::new(cargo);
@@ -159,6 +163,6 @@
     if status.success() && binary.exists() {
         Ok(binary)
     } else {
-        Err(io::Error::other("the shipped binary can't be built"))
+        Err(io::Error::other("failed to build the arbutusquay binary"))
     }
 }
--- a/crates/bench/src/recover.rs
+++ b/crates/bench/src/recover.rs
@@ -1,5 +1,6 @@
-//! How long a large system takes to serve again after all its processes were killed:
-//! gateways as processes, before a store in this process with many upstreams.
+//! Measures how long many gateways take to serve again after all of them were killed.
+//!
+//! The gateways are processes; the store, with many registered upstreams, runs in this process.
 
 use crate::probe::wait_serving;
 use crate::procs::{Proc, Signal, build_binary};
@@ -12,30 +13,30 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Availability zones among which the hosts are spread.
+/// Number of availability zones over which the hosts are distributed.
 const ZONES: usize = 6;
-/// Longest wait until all serve.
+/// Timeout for a gateway to serve.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time for which all run before they are killed.
+/// Time for which the gateways run before they are killed.
 const RUN_TIME: Duration = Duration::from_secs(3);
-/// Port of the worker that wait_serving, and of the store.
+/// Ports of the serving worker and of the store.
 const WORKER_PORT: u16 = 7100;
 const STORE_PORT: u16 = 7003;
 
-/// Times until gateways served, in milliseconds; none for those that never did.
+/// Times until the gateways served, in milliseconds; gateways that timed out are left out.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figures {
-    /// RequestKind they came from.
+    /// Event that preceded the start.
     pub after: &'static str,
-    /// Gateways that served in the end.
+    /// Number of gateways that served.
     pub served: usize,
-    /// Until the first of them served.
+    /// Time until the first gateway served.
     pub first_ms: Option<u64>,
-    /// Until half of them did.
+    /// Median time until a gateway served.
     pub median_ms: Option<u64>,
-    /// Until the last of them did.
+    /// Time until the last gateway served.
     pub last_ms: Option<u64>,
-    /// Rows of upstreams that the store gave meanwhile.
+    /// Upstream rows that the store returned in this time.
     pub store_reads: u64,
 }
 
@@ -45,8 +46,8 @@
     settings: PathBuf,
 }
 
-/// Starts so many gateways before so many upstreams, kills all at once and starts them
-/// again.
+/// Starts `hosts` gateways with `upstreams` registered upstreams, kills all of them and starts
+/// them again.
 pub async fn run(hosts: usize, upstreams: usize) -> io::Result<Vec<Figures>> {
     let store_addr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 69, 0, 1)), STORE_PORT);
     let store = Store::start(store_addr)?;
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay that treats bytes as a bad link does, between processes that live.
+//! TCP relay that simulates a faulty network link between two running processes.
 
 use net::bind;
 use socket2::SockRef;
@@ -11,22 +11,22 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes that are passed on at once.
+/// Size of the read buffer in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// RequestKind a link does with bytes.
+/// State of the simulated link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
-    /// It passes them.
+    /// Passes all bytes.
     Open,
-    /// It holds them in both directions. RequestKind was on its direction is held, not lost, as
-    /// TCP would hold it over a short stalled.
+    /// Holds bytes in both directions without losing those in transit, as TCP does during a short
+    /// partition.
     Stalled,
-    /// It holds what comes back, and passes what goes there.
+    /// Holds responses and passes requests.
     ResponsesStalled,
-    /// It passes each piece after a time.
+    /// Delays each read of up to the buffer size.
     Slow(Duration),
-    /// It breaks open connections and refuses new ones.
+    /// Breaks open connections and refuses new ones.
     Broken,
 }
 
@@ -40,15 +40,15 @@
     }
 }
 
-/// Direction of bytes.
+/// Direction of transfer, seen from the connecting side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Forward,
     Backward,
 }
 
-/// Passes bytes between an address and a process as a link does. It ends when it
-/// is dropped.
+/// Forwards TCP connections from an address to a process, in accordance with the state of the
+/// link. Stops when dropped.
 #[derive(Debug)]
 pub struct Relay {
     link: watch::Sender<Link>,
@@ -70,12 +70,12 @@
         Ok(Self { link, task })
     }
 
-    /// Changes what the link does.
+    /// Sets the state of the link.
     pub fn set(&self, link: Link) {
         self.link.send_replace(link);
     }
 
-    /// Holds bytes in both directions, or goes on to pass them.
+    /// Stalls both directions, or restores the link.
     pub fn set_stalled(&self, stalled: bool) {
         self.set(if stalled { Link::Stalled } else { Link::Open });
     }
@@ -91,16 +91,16 @@
 }
 
 async fn connection(near: TcpStream, to: SocketAddr, mut link: watch::Receiver<Link>) {
-    // A connection that is dropped with bytes unread is reset.
+    // A connection that is dropped with unread bytes is reset.
     if *link.borrow() == Link::Broken || !wait_passable(&mut link, Direction::Forward).await {
         return;
     }
-    // The other end sees a connection that closes at once, as it would without
-    // the relay a connection that is refused.
+    // The connecting side sees its connection close immediately; without the relay it would be
+    // refused.
     let Ok(far) = TcpStream::connect(to).await else {
         return;
     };
-    // Without it the relay would hold small pieces back itself.
+    // With Nagle's algorithm the relay would delay small writes itself.
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (near_in, near_out) = near.into_split();
     let (far_in, far_out) = far.into_split();
@@ -108,7 +108,7 @@
     let backward = pass(far_in, near_out, link.clone(), Direction::Backward);
     tokio::select! {
         () = backward => {}
-        // The sender lives as long as the relay; without it the connection ends too.
+        // The sender lives as long as the relay; when it is dropped the connection ends, too.
         _ = link.wait_for(|l| *l == Link::Broken) => {}
     }
     forward.abort();
@@ -123,10 +123,10 @@
     let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let Ok(n) = from.read(&mut buf).await else {
-            // A reset is passed on as one: an answer without a length that ends
-            // with a reset isn't whole, and one that ends in order is.
+            // A reset must be forwarded as a reset: an answer without a length is complete after
+            // an orderly end, and incomplete after a reset.
             let _ = SockRef::from(to.as_ref()).set_linger(Some(Duration::ZERO));
-            // Dropped, it would end the connection in order first.
+            // Dropping the half would shut the connection down in order before the reset.
             to.forget();
             return;
         };
@@ -137,7 +137,7 @@
         if let Some(pause) = slow {
             tokio::time::sleep(pause).await;
         }
-        // An end is passed on too, and not before a stalled is over.
+        // The end of a stream is forwarded as well, and is also held while the link is stalled.
         let is_open = wait_passable(&mut link, direction).await;
         if !is_open || n == 0 || to.write_all(&buf[..n]).await.is_err() {
             return;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Waits until bytes may pass; false if the relay has ended.
+/// Waits until bytes may pass in a direction; returns false if the relay was dropped.
 async fn wait_passable(link: &mut watch::Receiver<Link>, direction: Direction) -> bool {
     link.wait_for(|l| l.passes(direction)).await.is_ok()
 }
--- a/crates/bench/src/schedule.rs
+++ b/crates/bench/src/schedule.rs
@@ -1,51 +1,51 @@
-//! A schedule of faults, drawn from a seed.
+//! Generates a random schedule of faults from a seed.
 
 use fakes::Faults;
 use fastrand::Rng;
 
-/// RequestKind a fault is done to, and what is done.
+/// A fault and its target. Targets are given as indices.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// An agent, by place, is killed and later started again.
+    /// Kills an agent and restarts it at the end.
     KillAgent(usize),
-    /// An agent is stopped gracefully and later started again.
+    /// Stops an agent gracefully and restarts it at the end.
     StopAgent(usize),
-    /// An agent is paused.
+    /// Pauses an agent.
     PauseAgent(usize),
-    /// No bytes pass between entries and an agent.
+    /// Stalls the link between the entries and an agent.
     CutAgent(usize),
-    /// An entry is killed and later started again.
+    /// Kills an entry and restarts it at the end.
     KillEntry(usize),
-    /// An entry is stopped gracefully and later started again.
+    /// Stops an entry gracefully and restarts it at the end.
     StopEntry(usize),
-    /// An entry is paused, maybe for longer than its lease.
+    /// Pauses an entry, possibly for longer than its lease.
     PauseEntry(usize),
-    /// A host is called leaving; its agent is started again when it is back.
+    /// Reports the host of a worker as leaving; its agent is restarted when the host is back.
     LeaveHost(usize),
-    /// The table service shows faults.
+    /// Faults of the table service.
     Table(Faults),
-    /// The object store shows faults.
+    /// Faults of the object store.
     Objects(Faults),
-    /// The host list shows faults.
+    /// Faults of the host list.
     Hosts(Faults),
-    /// An upstream, by place, shows faults.
+    /// Faults of an upstream.
     Upstream(usize, Faults),
-    /// Two editors race for the document of a service, by place.
+    /// Lets two editors race for the document of a service.
     Edit(usize),
 }
 
-/// A fault with its time.
+/// A fault with its start and end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// When it begins, in milliseconds.
+    /// Start in milliseconds after the start of the schedule.
     pub from_ms: u64,
-    /// When it ends.
+    /// End in milliseconds after the start of the schedule.
     pub until_ms: u64,
-    /// RequestKind it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// How many of each there are.
+/// Numbers of possible targets.
 #[derive(Debug, Clone, Copy)]
 pub struct SiteSize {
     /// Upstreams with agents.
@@ -56,8 +56,8 @@
     pub services: usize,
 }
 
-/// Draws a schedule. Faults of one lane follow each other, those of different
-/// lanes fall together.
+/// Generates a schedule. Faults of one lane follow one another; faults of different lanes
+/// overlap.
 pub fn generate(seed: u64, length_ms: u64, n: SiteSize) -> Vec<ScheduledFault> {
     let lanes: [fn(&mut Rng, SiteSize) -> Fault; 6] = [agent, entry, table, other, upstream, edit];
     let mut all = Vec::new();
--- a/crates/bench/src/scrape.rs
+++ b/crates/bench/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Reading a process's metrics.
+//! Reads the metrics of a process.
 
 use hyper::Request;
 use net::{Pool, empty};
@@ -6,30 +6,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for the metrics.
+/// Timeout for reading the metrics.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest text.
+/// Maximum size of the metrics text in bytes.
 const MAX_METRICS_BYTES: usize = 16 << 20;
 
-/// Bytes of control traffic of a process so far.
+/// Bytes of control traffic of a process since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ControlBytes {
-    /// With the platform.
+    /// Traffic with the platform.
     pub platform: u64,
-    /// With peers.
+    /// Traffic with peers.
     pub peers: u64,
 }
 
-/// Versions in force in a process.
+/// Document versions in force in a process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Versions {
-    /// The process's id.
+    /// Process ID.
     pub process: u32,
-    /// Each service's version.
+    /// Versions by service.
     pub versions: Vec<(String, u64)>,
 }
 
-/// Reads the versions in force in the process at an admin address.
+/// Reads the document versions from the process with an admin address.
 pub async fn document_versions(admin: SocketAddr) -> io::Result<Versions> {
     let text = metrics(admin).await?;
     let mut seen = Versions::default();
@@ -59,7 +59,7 @@
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// Reads the bytes of control traffic of the process at an admin address.
+/// Reads the bytes of control traffic from the process with an admin address.
 pub async fn control_bytes(admin: SocketAddr) -> io::Result<ControlBytes> {
     let text = metrics(admin).await?;
     let value = |link: &str| {
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -1,5 +1,4 @@
-//! A running deployment: stand-ins in this process, entries and agents as
-//! processes of their own.
+//! A running deployment: stand-ins in this process, entries and agents as child processes.
 
 mod options;
 
@@ -26,16 +25,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a process to become ready.
+/// Timeout for a process to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between looks at whether it is.
+/// Interval between health checks.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for one answer about health.
+/// Timeout for a health check.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest such answer.
+/// Maximum size of a health response in bytes.
 const MAX_HEALTH_BYTES: usize = 1 << 20;
 
-/// A stand-in upstream.
+/// Stand-in for an upstream.
 #[derive(Debug)]
 pub enum UpstreamStandin {
     /// A model engine.
@@ -47,17 +46,17 @@
 /// An upstream with its agent.
 #[derive(Debug)]
 pub struct Worker {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The upstream, as the document has it.
+    /// The upstream as described in the document.
     pub upstream: Upstream,
-    /// The stand-in.
+    /// Stand-in that serves as the upstream.
     pub standin: UpstreamStandin,
-    /// The agent's process.
+    /// Process of the agent.
     pub agent: Proc,
-    /// Where the agent itself listens.
+    /// Address on which the agent itself listens.
     pub listen: SocketAddr,
-    /// RequestKind stands between the entries and the agent, if anything does.
+    /// Relay between the entries and the agent, if any.
     pub relay: Option<Relay>,
     settings: PathBuf,
     _running: Running,
@@ -66,7 +65,7 @@
 /// An entry.
 #[derive(Debug)]
 pub struct EntryProcess {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     /// The process.
     pub process: Proc,
@@ -76,19 +75,19 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Site {
-    /// Which one.
+    /// The deployment.
     pub deployment: Deployment,
-    /// Its documents.
+    /// Documents of its services.
     pub docs: Vec<Doc>,
-    /// The table service.
+    /// Stand-in for the table service.
     pub table: Arc<TableStandin>,
-    /// The object store.
+    /// Stand-in for the object store.
     pub objects: Arc<ObjectsStandin>,
-    /// The host list.
+    /// Stand-in for the host list.
     pub hosts: Arc<HostsStandin>,
-    /// The upstreams with their agents.
+    /// Upstreams with their agents.
     pub workers: Vec<Worker>,
-    /// The entries.
+    /// Entries.
     pub entries: Vec<EntryProcess>,
     options: Options,
     dir: PathBuf,
@@ -97,18 +96,18 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // Logs are kept where a run asks for it, to look into a failure.
+        // Logs are kept on request, to investigate a failure.
         if std::env::var_os("BENCH_KEEP").is_some() {
-            eprintln!("kept {}", self.dir.display());
+            eprintln!("kept settings and logs in {}", self.dir.display());
             return;
         }
-        // A folder that can't be removed is left for the system to clean.
+        // If the directory can't be removed, the system cleans it up later.
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
 impl Site {
-    /// Starts everything and waits until every process is ready.
+    /// Starts all stand-ins and processes and waits until every process is ready.
     pub async fn start(deployment: Deployment, options: Options) -> io::Result<Self> {
         let subnet = options.subnet;
         let dir = std::env::temp_dir().join(format!("arbutusquay-{}-{subnet}", std::process::id()));
@@ -170,7 +169,7 @@
         Ok(())
     }
 
-    /// The documents' texts as they were first applied.
+    /// Texts of the documents as first applied.
     pub fn documents(&self) -> Vec<String> {
         let defaults = || {
             self.deployment
@@ -185,7 +184,7 @@
         self.documents().into_iter().map(parse).collect()
     }
 
-    /// Applies a document's text expected_version a version.
+    /// Applies the text of a document, with the version that it is expected to replace.
     pub async fn apply(
         &self,
         service: &str,
@@ -204,7 +203,7 @@
         .await
     }
 
-    /// Runs an operators' command with the first entry's settings.
+    /// Runs an operator command with the settings of the first entry.
     pub async fn command(&self, args: &[&str]) -> io::Result<Output> {
         let settings = self.settings_file();
         let settings = settings.to_string_lossy();
@@ -213,7 +212,7 @@
         run_command(&self.options.binary, &all).await
     }
 
-    /// The first entry's settings file.
+    /// Path of the first entry's settings file.
     pub fn settings_file(&self) -> PathBuf {
         self.entries
             .first()
@@ -306,21 +305,21 @@
         Ok(())
     }
 
-    /// Starts a worker's agent anew, after the one before has ended.
+    /// Restarts the agent of a worker after it has exited.
     pub fn restart_agent(&mut self, at: usize) -> io::Result<()> {
         let w = &mut self.workers[at];
         w.agent = Proc::start(&self.options.binary, "agent", &w.agent.name, &w.settings)?;
         Ok(())
     }
 
-    /// Starts an entry anew, after the one before has ended.
+    /// Restarts an entry after it has exited.
     pub fn restart_entry(&mut self, at: usize) -> io::Result<()> {
         let e = &mut self.entries[at];
         e.process = Proc::start(&self.options.binary, "entry", &e.process.name, &e.settings)?;
         Ok(())
     }
 
-    /// Stops all processes gracefully, entries first.
+    /// Signals all processes to stop gracefully and waits until they have exited.
     pub async fn stop(&mut self) -> io::Result<()> {
         let mut all: Vec<&mut Proc> = self.entries.iter_mut().map(|e| &mut e.process).collect();
         all.extend(self.workers.iter_mut().map(|w| &mut w.agent));
@@ -338,12 +337,12 @@
         self.options.host_list_lag
     }
 
-    /// Second number of its loopback addresses.
+    /// Second octet of its loopback addresses.
     pub fn subnet(&self) -> u8 {
         self.options.subnet
     }
 
-    /// Where the processes' settings and logs are.
+    /// Directory with the settings and logs of the processes.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
@@ -354,7 +353,7 @@
     }
 }
 
-/// Waits until a process says that it is ready.
+/// Waits until the process with an admin address reports that it is ready.
 pub async fn wait_ready(admin: SocketAddr, name: &str) -> io::Result<()> {
     let pool = Pool::new(admin, HEALTH_TIMEOUT);
     let until = tokio::time::Instant::now() + READY_TIMEOUT;
@@ -370,7 +369,9 @@
             return Ok(());
         }
         if tokio::time::Instant::now() >= until {
-            return Err(io::Error::other(format!("{name} isn't ready")));
+            return Err(io::Error::other(format!(
+                "{name} did not become ready in time"
+            )));
         }
         tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
--- a/crates/bench/src/site/options.rs
+++ b/crates/bench/src/site/options.rs
@@ -1,37 +1,37 @@
-//! How a site is set up.
+//! Options of a site.
 
 use crate::deploy::Deployment;
 use fakes::engine::Rates;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How a site is set up.
+/// Options of a site.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The shipped binary.
+    /// Path of the arbutusquay binary.
     pub binary: PathBuf,
-    /// Second number of the loopback addresses.
+    /// Second octet of the loopback addresses.
     pub subnet: u8,
-    /// Entries; at most one for each zone of the deployment that has one.
+    /// Number of entries; at most the number of zones with an entry.
     pub entries: usize,
-    /// Documents to serve in place of the deployment's own.
+    /// Documents to use instead of those of the deployment.
     pub documents: Option<Vec<String>>,
-    /// Most workers of each service.
+    /// Maximum number of workers per service.
     pub workers: usize,
     /// Rates of the engines.
     pub rates: Rates,
-    /// Time that a plain service takes for a call.
+    /// Time that a plain service takes per request.
     pub plain_service_time: Duration,
     /// Lag of the host list.
     pub host_list_lag: Duration,
-    /// Whether entries reach agents through relays that can be cut.
+    /// Whether entries reach agents through relays.
     pub relays: bool,
-    /// The field `limits` of all settings, as YAML.
+    /// Field `limits` of all settings files, as YAML.
     pub limits: String,
 }
 
 impl Options {
-    /// A deployment's usual set-up.
+    /// Default options of a deployment.
     pub fn new(binary: PathBuf, deployment: Deployment) -> Self {
         Self {
             binary,
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,9 +1,8 @@
-//! `slopes`: what each role costs, as a function of one size at a time.
+//! `slopes`: measures the cost of each role as a function of one variable at a time.
 //!
-//! Real entries and agents with small stand-ins. Bytes are counted at the
-//! sockets, processor time and memory come from /proc, and reads and writes are
-//! the stand-ins' own counts. One variable changes over a factor of at least 8;
-//! a line is fitted to each figure.
+//! Real entries and agents run with small stand-ins. Bytes are counted at the sockets, processor
+//! time and memory are read from /proc, and reads and writes are counted by the stand-ins. Each
+//! variable changes by a factor of at least 8, and a line is fitted to each figure.
 
 use crate::client::{CallResult, Client};
 use crate::deploy::{Deployment, admin_addr, reserve_subnet};
@@ -22,24 +21,24 @@
 use store::{HttpPlatform, Table, Txn};
 use tokio::task::JoinSet;
 
-/// Time for connections to be opened and rates to be learned, not counted.
+/// Time for opening connections and learning rates, excluded from the results.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// Times between polls and flushes as the defaults have them, so that the
-/// figures are those of a real site.
+/// Intervals of polls and flushes keep their defaults, so that the figures match those of a real
+/// site.
 const LIMITS: &str = "{linger: 100ms}";
-/// Bytes of prompts: two in five are long, and tied to an upstream.
+/// Prompt sizes in bytes: two in five prompts are long, and tied to an upstream.
 const PROMPT_BYTES: [usize; 5] = [400, 6_000, 400, 6_000, 400];
 
-/// Sizes of one measurement.
+/// Sizes of the system in one measurement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Sizes {
     entries: usize,
     agents: usize,
-    /// Requests a second at each entry.
+    /// Requests per second and entry.
     rate: u32,
     tenants: u64,
     documents: usize,
-    /// Changes of documents a minute.
+    /// Document changes per minute.
     changes: u32,
 }
 
@@ -52,26 +51,26 @@
     changes: 0,
 };
 
-/// A figure as a function of a variable: `intercept + slope * x`.
+/// A figure as a linear function of a variable: `intercept + slope * x`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// RequestKind one more costs.
+    /// Cost of one more unit.
     pub slope: f64,
-    /// RequestKind none costs.
+    /// Cost at zero.
     pub intercept: f64,
-    /// How well the line fits: 1 is exact.
+    /// Coefficient of determination; 1 is an exact fit.
     pub fit: f64,
-    /// The measurements.
+    /// Measured points.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Figures by name, of one variable.
+/// Figures of one variable, by name.
 pub type Figures = BTreeMap<String, Line>;
 
-/// Figures of all variables that were measured.
+/// Figures of all measured variables, by variable.
 pub type Slopes = BTreeMap<String, Figures>;
 
-/// Measures.
+/// Runs the measurements of all variables, or only of one.
 pub async fn run(only: Option<&str>, seconds: u32) -> io::Result<Slopes> {
     let binary = build_binary().await?;
     let length = Duration::from_secs(u64::from(seconds.max(1)));
@@ -122,7 +121,7 @@
     ]
 }
 
-/// The document of a service made up for a measurement.
+/// Document of a synthetic service.
 fn document(subnet: u8, number: usize, agents: usize, note: u64) -> String {
     let first = number * agents;
     let up = |i: usize| {
@@ -170,7 +169,7 @@
     Ok(after.since(&before))
 }
 
-/// Sends requests, and changes documents, for a time.
+/// Sends requests and changes documents for a time.
 async fn run_load(site: &Site, sizes: Sizes, length: Duration) -> io::Result<()> {
     let clients: Vec<Client> = site.entry_addrs().into_iter().map(Client::new).collect();
     let each = sizes.rate.max(1) * clients.len() as u32;
@@ -202,7 +201,7 @@
     Ok(())
 }
 
-/// Services of the measurements. Callers' requests name them statically.
+/// Names of the services; requests need static strings.
 const SERVICES: [&str; 12] = [
     "s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10", "s11",
 ];
@@ -226,7 +225,7 @@
     }
 }
 
-/// Changes documents at their rate until it is cancelled.
+/// Changes documents at the given rate until cancelled.
 async fn change_documents(site: &Site, sizes: Sizes) -> io::Result<()> {
     if sizes.changes == 0 {
         return std::future::pending().await;
@@ -252,7 +251,7 @@
     Ok(())
 }
 
-/// RequestKind everything has used so far.
+/// Resources used since the start.
 #[derive(Debug)]
 struct Totals {
     at: Instant,
@@ -348,7 +347,7 @@
     first.keys().map(line).collect()
 }
 
-/// Fits a line by least squares.
+/// Fits a line by the method of least squares.
 pub fn fit(points: Vec<(f64, f64)>) -> Line {
     let n = points.len() as f64;
     let mean = |f: fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / n;
--- a/crates/bench/src/testbed.rs
+++ b/crates/bench/src/testbed.rs
@@ -1,5 +1,6 @@
-//! A small site of real processes for tests, on addresses of its own. RequestKind fails
-//! here fails the test, so these functions panic.
+//! A small site of real processes for tests, in a loopback subnet of its own.
+//!
+//! Failures fail the test, so these functions panic.
 
 use crate::client::{Call, CallResult, Client};
 use crate::deploy::{Deployment, reserve_subnet};
@@ -12,28 +13,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bound of all waits for a condition.
+/// Timeout for waiting for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between looks at a condition.
+/// Interval between checks of a condition.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The service with engines.
+/// Name of the engine service.
 pub const ENGINE_SERVICE: &str = "taalmodel-dossier";
-/// The plain service.
+/// Name of the plain service.
 pub const PLAIN_SERVICE: &str = "ledenportaal";
 
-/// A site, with the lock on its addresses.
+/// A site, with the reservation of its subnet.
 pub struct Testbed {
     /// The site.
     pub site: Site,
     _lock: TcpListener,
 }
 
-/// A site of two entries and so many workers of each service.
+/// Starts a site with two entries and at most `workers` workers per service.
 pub async fn testbed(binary: &str, workers: usize) -> Testbed {
     testbed_with(binary, workers, |_| {}).await
 }
 
-/// The same with other options.
+/// Starts such a site with changed options.
 pub async fn testbed_with(
     binary: &str,
     workers: usize,
@@ -62,16 +63,16 @@
 }
 
 impl Testbed {
-    /// A client of an entry.
+    /// Creates a client of an entry.
     pub fn client(&self, entry: usize) -> Client {
         Client::new(self.site.entries[entry].addr)
     }
 
-    /// The engine of a worker.
+    /// Engine of a worker.
     pub fn engine(&self, at: usize) -> Arc<EngineStandin> {
         match &self.site.workers[at].standin {
             UpstreamStandin::Engine(e) => e.clone(),
-            UpstreamStandin::Plain(_) => panic!("worker {at} is plain"),
+            UpstreamStandin::Plain(_) => panic!("worker {at} is a plain service"),
         }
     }
 
@@ -93,14 +94,14 @@
         self.site.workers.iter().filter_map(plain).collect()
     }
 
-    /// Runs of all plain services with a key.
+    /// Number of runs with an idempotency key at all plain services.
     pub fn run_count(&self, key: &str) -> usize {
         let runs = |p: Arc<PlainStandin>| p.history().iter().filter(|r| r.key == key).count();
         self.plain_services().into_iter().map(runs).sum()
     }
 }
 
-/// A streamed completion.
+/// A streamed completion of class `reply`.
 pub fn reply(prompt: &str, tokens: u32) -> ClientRequest {
     let prompt = prompt.to_owned();
     let kind = RequestKind::Completion {
@@ -117,7 +118,7 @@
     }
 }
 
-/// A notice: non-idempotent.
+/// A non-idempotent request of class `notice`.
 pub fn notice(key: &str, body: &str) -> ClientRequest {
     let (path, body) = ("/notices".to_owned(), body.to_owned());
     let kind = RequestKind::Plain {
@@ -134,7 +135,7 @@
     }
 }
 
-/// A lookup: idempotent.
+/// An idempotent request of class `lookup`.
 pub fn lookup(path: &str) -> ClientRequest {
     let kind = RequestKind::Plain {
         method: "GET",
@@ -150,12 +151,12 @@
     }
 }
 
-/// Whether the whole answer came.
+/// Whether the complete answer was received.
 pub fn is_complete(call: &Call) -> bool {
     matches!(call.result, CallResult::Complete { .. })
 }
 
-/// Waits for a condition.
+/// Waits until a condition holds.
 pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let wait = async {
         while !holds() {
@@ -164,5 +165,5 @@
     };
     tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
-        .unwrap_or_else(|_| panic!("{what} doesn't come"));
+        .unwrap_or_else(|_| panic!("timed out waiting for {what}"));
 }
--- a/crates/bench/src/up.rs
+++ b/crates/bench/src/up.rs
@@ -1,11 +1,11 @@
-//! `up`: both deployments, until Ctrl-C.
+//! `up`: runs both deployments until Ctrl-C.
 
 use crate::deploy::ALL;
 use crate::procs::build_binary;
 use crate::site::{Options, Site};
 use std::io;
 
-/// Starts both deployments, prints what can be tried, and waits for Ctrl-C.
+/// Starts both deployments, prints example commands, and waits for Ctrl-C.
 pub async fn run() -> io::Result<()> {
     let binary = build_binary().await?;
     let mut sites = Vec::new();
--- a/crates/bench/src/usage.rs
+++ b/crates/bench/src/usage.rs
@@ -1,21 +1,21 @@
-//! Processor time, memory and bytes of a process, from /proc.
+//! Processor time and memory of a process, read from /proc.
 
 use std::fs;
 use std::time::Duration;
 
-/// RequestKind a process has used so far.
+/// Resources used by a process since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time, user and system.
+    /// Processor time in user and system mode.
     pub cpu: Duration,
-    /// Resident memory, in bytes.
+    /// Resident memory in bytes.
     pub resident: u64,
 }
 
-/// Reads a process's usage; none if it has ended.
+/// Reads the usage of a process; `None` if it has exited.
 pub fn read(pid: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in parentheses may hold spaces; fields are counted after it.
+    // The name in parentheses may contain spaces, so fields are counted after it.
     let rest = stat.rsplit_once(')')?.1;
     let fields: Vec<u64> = rest
         .split_whitespace()
@@ -32,7 +32,7 @@
 }
 
 fn ticks_per_second() -> f64 {
-    // SAFETY: sysconf takes a plain number and has no other effect.
+    // SAFETY: sysconf takes a plain number and has no side effects.
     let ticks = unsafe { libc::sysconf(libc::_SC_CLK_TCK) };
     ticks.max(1) as f64
 }
--- a/crates/bench/tests/capacity.rs
+++ b/crates/bench/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page and the committed slopes can't drift apart.
+//! Checks that the capacity page agrees with the committed slopes.
 
 use bench::capacity::{replace_rows, rows, value};
 use bench::slopes::{Slopes, fit};
@@ -15,7 +15,7 @@
 #[test]
 fn every_row_of_the_page_matches_the_slopes() {
     let slopes: Slopes = serde_json::from_str(&doc("slopes.json")).unwrap();
-    let rows = rows(&doc("CAPACITY.md")).expect("the page has its block");
+    let rows = rows(&doc("CAPACITY.md")).expect("the page contains a valid block");
     assert!(!rows.is_empty());
     for row in rows {
         let value = value(&row, &slopes).unwrap_or_else(|| panic!("{}: unknown term", row.name));
--- a/crates/bench/tests/check.rs
+++ b/crates/bench/tests/check.rs
@@ -1,4 +1,4 @@
-//! Each rule accepts a good history and rejects one that lacks its guard.
+//! Checks that each rule accepts a correct history and detects its violation.
 
 use bench::check::{
     self, AcceptedDocument, ExemptPeriod, History, LeavingPeriod, ObservedRun, VersionSample,
@@ -148,7 +148,7 @@
     assert_eq!(
         check::stale_orders_effective(&of(vec![desired(1)])),
         1,
-        "under no lease at all"
+        "written without any lease"
     );
 }
 
@@ -230,7 +230,7 @@
     assert_eq!(
         check::late_work_to_leaving(&of("u", 9_500)),
         0,
-        "it was back"
+        "the upstream was reinstated"
     );
 }
 
@@ -255,12 +255,12 @@
     assert_eq!(
         check::late_work_to_leaving(&of(true, vec![(500, 1_500)])),
         1,
-        "3.5 s remain"
+        "3.5 s are outside the outage"
     );
     assert_eq!(
         check::late_work_to_leaving(&of(false, vec![(500, 2_500)])),
         1,
-        "a signal"
+        "the agent was signalled"
     );
 }
 
@@ -281,7 +281,7 @@
     assert_eq!(
         check::config_reverts(&of(vec![sample(1, 5, 0), sample(2, 0, 1)])),
         0,
-        "a new start"
+        "the process was restarted"
     );
 }
 
@@ -322,6 +322,6 @@
     assert_eq!(
         check::config_late(&of(4, late + 2_500, twice)),
         1,
-        "overlaps count once"
+        "overlapping periods count once"
     );
 }
--- a/crates/bench/tests/known_red.rs
+++ b/crates/bench/tests/known_red.rs
@@ -1,19 +1,18 @@
-//! The list of tests that are known to fail: CI passes over just these.
+//! Tests the script that reads KNOWN-RED.txt, the list of known failures that CI skips.
 //!
-//! Seen: with a blank line in the list, the linter's and formatter's steps ran and no test at
-//! all, and CI was green; with an entry, each test whose name contains the entry's was passed
-//! over too. An entry that named no test wasn't noticed.
+//! A blank line in the list once made CI skip all tests and pass; an entry also skipped every
+//! test whose name contained it; and entries that matched no test went unnoticed.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// The repository's root.
+/// Root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Reads a list, where the tests have these names.
+/// Runs the script on a list, for a fixed set of test names.
 fn run_script(case: &str, list: &str) -> Output {
     let dir = std::env::temp_dir().join(format!("known-red-{}-{case}", std::process::id()));
     fs::create_dir_all(&dir).unwrap();
@@ -47,7 +46,7 @@
         ("blank", "\n"),
         ("blank-between", "one_test: x\n\nmodule::test: y\n"),
         ("no-name", ": x\n"),
-        ("no-story", "one_test\n"),
+        ("no-description", "one_test\n"),
         ("part", "one_: x\n"),
         ("unknown", "gone_test: x\n"),
         ("words", "a test that fails: x\n"),
