--- a/crates/arbutusquay/tests/crashing.rs
+++ b/crates/arbutusquay/tests/crashing.rs
@@ -4,9 +4,9 @@
 //! entry started a new count, so it could crash upstream after upstream. Gateways had the same
 //! fault.
 
-use bench::bed::{Bed, bed, is_whole, lookup, reply, until};
-use bench::caller::{Got, Sent};
-use bench::mix::{Ask, What};
+use bench::client::{Call, CallResult};
+use bench::mix::{ClientRequest, RequestKind};
+use bench::testbed::{Testbed, is_complete, lookup, reply, testbed, wait_until};
 use fakes::Faults;
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
 /// Number of crashes that all entries together may still cause after that.
 const MAX_LATER_CRASHES: u32 = 3;
 
-async fn crashing_bed() -> Bed {
-    let bed = bed(BINARY, 4).await;
+async fn crashing_bed() -> Testbed {
+    let bed = testbed(BINARY, 4).await;
     let faults = Faults {
         crash_about: CRASHING_TEXT.into(),
         ..Faults::default()
@@ -28,15 +28,15 @@
     for engine in bed.engines() {
         fakes::serve::FakeServer::injector(&*engine).set(faults.clone());
     }
-    for plain in bed.plains() {
+    for plain in bed.plain_services() {
         fakes::serve::FakeServer::injector(&*plain).set(faults.clone());
     }
     bed
 }
 
-fn crashes(bed: &Bed) -> u32 {
+fn crashes(bed: &Testbed) -> u32 {
     let engines = bed.engines();
-    let plains = bed.plains();
+    let plains = bed.plain_services();
     let of_engines = engines
         .iter()
         .map(|e| fakes::serve::FakeServer::injector(&**e).crash_count());
@@ -47,10 +47,10 @@
 }
 
 /// A call that may run at most once, without an idempotency key.
-fn post() -> Ask {
-    Ask {
+fn post() -> ClientRequest {
+    ClientRequest {
         class: "notice",
-        what: What::Plain {
+        kind: RequestKind::Plain {
             method: "POST",
             path: "/notices".into(),
             body: CRASHING_TEXT.into(),
@@ -60,47 +60,47 @@
     }
 }
 
-fn reason(sent: &Sent) -> &str {
-    match &sent.got {
-        Got::Refused { reason, .. } => reason,
+fn reason(sent: &Call) -> &str {
+    match &sent.result {
+        CallResult::Refused { reason, .. } => reason,
         _ => "",
     }
 }
 
 /// Sends a request to both entries in turn until three upstreams have crashed.
-async fn crash_three_upstreams(bed: &Bed, ask: &Ask) {
+async fn crash_three_upstreams(bed: &Testbed, ask: &ClientRequest) {
     let mut turn = 0;
     while crashes(bed) < 3 {
-        bed.caller(turn % 2).send(ask.clone()).await;
+        bed.client(turn % 2).send(ask.clone()).await;
         turn += 1;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn assert_stopped(ask: Ask, other: Ask) {
+async fn assert_stopped(ask: ClientRequest, other: ClientRequest) {
     let mut bed = crashing_bed().await;
     crash_three_upstreams(&bed, &ask).await;
     tokio::time::sleep(SETTLE_TIME).await;
     let before = crashes(&bed);
     for turn in 0..16 {
-        bed.caller(turn % 2).send(ask.clone()).await;
+        bed.client(turn % 2).send(ask.clone()).await;
         let more = crashes(&bed) - before;
         assert!(more <= MAX_LATER_CRASHES, "{more} more upstreams crashed");
     }
     // One trial still runs. Once all entries know its result, the request stays blocked.
     for turn in 0..4 {
         tokio::time::sleep(SETTLE_TIME / 2).await;
-        bed.caller(turn % 2).send(ask.clone()).await;
+        bed.client(turn % 2).send(ask.clone()).await;
     }
-    let sent = bed.caller(0).send(ask.clone()).await;
-    assert_eq!(reason(&sent), "crashes-upstreams", "{:?}", sent.got);
-    assert!(is_whole(&bed.caller(0).send(other).await));
+    let sent = bed.client(0).send(ask.clone()).await;
+    assert_eq!(reason(&sent), "crashes-upstreams", "{:?}", sent.result);
+    assert!(is_complete(&bed.client(0).send(other).await));
     // An entry that starts later also blocks it.
     bed.site.entries[0].process.kill().await.unwrap();
     bed.site.restart_entry(0).unwrap();
-    bed.site.ready().await.unwrap();
+    bed.site.wait_ready().await.unwrap();
     tokio::time::sleep(SETTLE_TIME).await;
-    bed.caller(0).send(ask.clone()).await;
+    bed.client(0).send(ask.clone()).await;
     let more = crashes(&bed) - before;
     assert!(
         more <= MAX_LATER_CRASHES,
@@ -121,7 +121,7 @@
 /// Streams that break while their engine keeps running are not crashes.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_broken_by_running_engines_do_not_count_as_crashes() {
-    let bed = bed(BINARY, 3).await;
+    let bed = testbed(BINARY, 3).await;
     for _ in 0..4 {
         for engine in bed.engines() {
             let faults = Faults {
@@ -130,12 +130,12 @@
             };
             fakes::serve::FakeServer::injector(&*engine).set(faults);
         }
-        bed.caller(0).send(reply("same", 40)).await;
+        bed.client(0).send(reply("same", 40)).await;
     }
     for engine in bed.engines() {
         fakes::serve::FakeServer::injector(&*engine).set(Faults::default());
     }
-    until("ready agents", || true).await;
-    let sent = bed.caller(0).send(reply("same", 40)).await;
-    assert!(is_whole(&sent), "{:?}", sent.got);
+    wait_until("ready agents", || true).await;
+    let sent = bed.client(0).send(reply("same", 40)).await;
+    assert!(is_complete(&sent), "{:?}", sent.result);
 }
--- a/crates/arbutusquay/tests/explain.rs
+++ b/crates/arbutusquay/tests/explain.rs
@@ -1,6 +1,6 @@
 //! `explain` shows the cause of a failed request from the logs of a real process.
 
-use bench::procs::{Proc, command};
+use bench::procs::{Proc, run_command};
 use standin::fixture::{
     CONFIG_ROW, WORKER_TABLE, config, request, routes, settings, tenant, with_tenants,
     with_usage_reports, worker_row, worker_row_with_start,
@@ -144,7 +144,7 @@
 }
 
 async fn run(binary: &Path, id: &str, log: &Path) -> String {
-    let out = command(binary, &["explain", id, &log.display().to_string()])
+    let out = run_command(binary, &["explain", id, &log.display().to_string()])
         .await
         .unwrap();
     out.stdout
@@ -359,11 +359,11 @@
     let file = std::env::temp_dir().join(format!("explain-none-{}", std::process::id()));
     std::fs::write(&file, "not a line\n{\"ts_ms\":1}\n").unwrap();
     let path = file.display().to_string();
-    let out = command(&binary, &["explain", "nobody", &path])
+    let out = run_command(&binary, &["explain", "nobody", &path])
         .await
         .unwrap();
     assert_eq!(out.code, Some(1));
-    let out = command(&binary, &["explain", "nobody", "/nonexistent"])
+    let out = run_command(&binary, &["explain", "nobody", "/nonexistent"])
         .await
         .unwrap();
     assert_eq!(out.code, Some(2));
--- a/crates/bench/src/gateway.rs
+++ b/crates/bench/src/gateway.rs
@@ -1,5 +1,5 @@
-//! What a gateway costs: processor time a request, and the time it adds over
-//! calling the same worker straight, interleaved in one run.
+//! Measures the cost of a gateway: processor time per request, and added latency compared to
+//! direct requests to the same worker, interleaved in one run.
 
 use crate::procs::{Proc, build_binary};
 use crate::usage;
@@ -12,40 +12,41 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Where the gateway and its stand-ins listen.
+/// Address of the gateway and its stand-ins.
 const HOST: Ipv4Addr = Ipv4Addr::new(127, 67, 0, 1);
-/// Events of a streamed answer, as in the users' prompts with short answers.
-const EVENTS: u64 = 2;
-/// Requests before the measurement, so that connections are open.
+/// Events per streamed answer, as for the users' prompts with short answers.
+const STREAM_EVENTS: u64 = 2;
+/// Requests before the measurement, to open connections.
 const WARM_UP: usize = 200;
-/// Longest wait for the gateway's first answer.
-const START_BOUND: Duration = Duration::from_secs(10);
+/// Timeout for the gateway's first successful answer.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Figures of one kind of request.
+/// Measurements for one kind of request.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figures {
-    /// What was sent.
+    /// Kind of request.
     pub kind: &'static str,
-    /// Requests through the gateway; as many went straight.
+    /// Requests through the gateway; the same number is sent directly.
     pub requests: usize,
-    /// Processor time of the gateway a request, in milliseconds.
+    /// Processor time of the gateway per request in milliseconds.
     pub cpu_ms: f64,
-    /// Median time through the gateway, in milliseconds.
+    /// Median latency through the gateway in milliseconds.
     pub through_ms: f64,
-    /// Median time straight to the worker, in milliseconds.
+    /// Median latency of direct requests to the worker in milliseconds.
     pub straight_ms: f64,
-    /// Resident memory of the gateway after it, in MiB.
+    /// Resident memory of the gateway after the run in MiB.
     pub resident_mib: f64,
 }
 
-/// Measures plain and streamed requests with bodies of a size. Where `has_suspect`, an
-/// upstream has ended under another request, so that each request is hashed and looked up.
+/// Measures plain and streamed requests with a body of `body` bytes. If `has_suspect` is set, an
+/// upstream first ends during another request, so that the gateway hashes and looks up each
+/// request.
 pub async fn run(requests: usize, body: usize, has_suspect: bool) -> io::Result<Vec<Figures>> {
     let at = |port| SocketAddr::new(IpAddr::V4(HOST), port);
     let store = Store::start(at(7003))?;
     store.put(CONFIG_ROW.0, CONFIG_ROW.1, &config(1, &routes()));
     let upstream = Worker::start(at(7100), "i-0").await?;
-    upstream.set_default_action(Action::Serve(EVENTS));
+    upstream.set_default_action(Action::Serve(STREAM_EVENTS));
     let row = worker_row("plain", upstream.addr, "ready", None);
     store.put(WORKER_TABLE, "i-0", &row);
     let dir = std::env::temp_dir().join(format!("bench-gateway-{}", std::process::id()));
@@ -53,13 +54,13 @@
     let file = dir.join("edge.toml");
     std::fs::write(&file, settings("edge", HOST, store.addr))?;
     let mut proc = Proc::start_gateway(&build_binary().await?, "edge", &file)?;
-    wait_served(at(7000)).await?;
+    wait_serving(at(7000)).await?;
     let load = Load {
         requests,
         body: "x".repeat(body),
     };
     if has_suspect {
-        end_under_one(&upstream, at(7000)).await?;
+        break_one_request(&upstream, at(7000)).await?;
     }
     let mut out = Vec::new();
     for (kind, path) in [("plain", "/unsafe/"), ("stream of 2 events", "/resumable/")] {
@@ -69,36 +70,39 @@
     Ok(out)
 }
 
-/// What is sent.
+/// Requests to send.
 struct Load {
     requests: usize,
     body: String,
 }
 
-/// Lets the upstream break off one request, which the gateway takes for its end.
-async fn end_under_one(upstream: &Worker, gateway: SocketAddr) -> io::Result<()> {
-    const JUDGED: Duration = Duration::from_millis(500);
+/// Makes the upstream close the connection during one request, which the gateway treats as its
+/// end.
+async fn break_one_request(upstream: &Worker, gateway: SocketAddr) -> io::Result<()> {
+    const SETTLE_TIME: Duration = Duration::from_millis(500);
     upstream.script([Action::Close]);
     let mut tcp = TcpStream::connect(gateway).await?;
-    ask(&mut tcp, "/unsafe/suspect", "x").await?;
-    tokio::time::sleep(JUDGED).await;
+    exchange(&mut tcp, "/unsafe/suspect", "x").await?;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(())
 }
 
-async fn wait_served(at: SocketAddr) -> io::Result<()> {
-    const PAUSE: Duration = Duration::from_millis(20);
-    let until = Instant::now() + START_BOUND;
+async fn wait_serving(at: SocketAddr) -> io::Result<()> {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    let until = Instant::now() + START_TIMEOUT;
     while Instant::now() < until {
         let served = async {
             let mut tcp = TcpStream::connect(at).await?;
-            ask(&mut tcp, "/safe/", "x").await
+            exchange(&mut tcp, "/safe/", "x").await
         };
         if served.await.is_ok_and(|s| s.contains(" 200 ")) {
             return Ok(());
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(io::Error::other("the gateway doesn't serve"))
+    Err(io::Error::other(
+        "the gateway did not start serving in time",
+    ))
 }
 
 async fn measure(
@@ -115,17 +119,17 @@
         tcp.set_nodelay(true)?;
     }
     for _ in 0..WARM_UP {
-        ask(&mut through, path, &load.body).await?;
+        exchange(&mut through, path, &load.body).await?;
     }
-    let used = || proc.id().and_then(usage::of).unwrap_or_default();
+    let used = || proc.id().and_then(usage::read).unwrap_or_default();
     let before = used();
     let mut times = (Vec::new(), Vec::new());
     for _ in 0..load.requests {
         let since = Instant::now();
-        ask(&mut through, path, &load.body).await?;
+        exchange(&mut through, path, &load.body).await?;
         times.0.push(since.elapsed());
         let since = Instant::now();
-        ask(&mut straight, path, &load.body).await?;
+        exchange(&mut straight, path, &load.body).await?;
         times.1.push(since.elapsed());
     }
     let after = used();
@@ -145,8 +149,8 @@
     times[times.len() / 2].as_secs_f64() * 1000.0
 }
 
-/// Sends a request and reads its answer, by length or to the last chunk.
-async fn ask(tcp: &mut TcpStream, path: &str, body: &str) -> io::Result<String> {
+/// Sends a request and reads the answer up to its last bytes.
+async fn exchange(tcp: &mut TcpStream, path: &str, body: &str) -> io::Result<String> {
     let id = format!("{:016x}", fastrand::u64(..));
     tcp.write_all(request("POST", path, &id, "", body).as_bytes())
         .await?;
@@ -155,7 +159,8 @@
         if tcp.read_buf(&mut buf).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        // The plain answer's body is the id, a refusal's ends so.
+        // A streamed answer ends with the last chunk, a plain one with the request ID, and a
+        // refusal with the end of a JSON string and object.
         let ends: [&[u8]; 3] = [b"0\r\n\r\n", id.as_bytes(), b"\"}"];
         if ends.iter().any(|end| buf.ends_with(end)) {
             return Ok(String::from_utf8_lossy(&buf).into_owned());
--- a/crates/bench/src/inforce.rs
+++ b/crates/bench/src/inforce.rs
@@ -1,6 +1,6 @@
-//! `inforce`: the time from `apply` until a document is in force everywhere.
+//! `inforce`: measures the time from `apply` until a document is in force in all processes.
 
-use crate::deploy::{Deployment, admin_of, free_net};
+use crate::deploy::{Deployment, admin_addr, reserve_subnet};
 use crate::procs::build_binary;
 use crate::scrape::document_versions;
 use crate::site::{Options, Site};
@@ -9,52 +9,52 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time between looks at a process.
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest wait for a document to be in force.
-const BOUND: Duration = Duration::from_secs(60);
+/// Interval between polls of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout for a document to come into force.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What was measured.
+/// Results of the measurement.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Measured {
-    /// Changes made.
+    /// Number of changes.
     pub changes: u32,
-    /// Processes that had to follow each.
+    /// Number of processes that had to apply each change.
     pub processes: usize,
-    /// Median time until all had it, in milliseconds, from the end of `apply`.
+    /// Median time from the end of `apply` until all processes had the document, in milliseconds.
     pub median_ms: u64,
-    /// Longest such time.
+    /// Longest such time in milliseconds.
     pub most_ms: u64,
-    /// Reads of the table service for each change, polls included.
+    /// Reads of the table service per change, including polls.
     pub reads_per_change: f64,
-    /// Reads that the polls alone would have cost in that time.
+    /// Reads per change that polling alone would cause in the same time.
     pub polls_per_change: f64,
 }
 
-/// Applies changes one after another with the default polls and no requests, so
-/// that nothing but the polls brings documents to processes.
+/// Applies changes one after another with default settings and without requests, so that
+/// processes learn of documents only by polling.
 pub async fn run(changes: u32) -> io::Result<Measured> {
-    let (net, _lock) = free_net()?;
+    let (subnet, _lock) = reserve_subnet()?;
     let mut options = Options::new(build_binary().await?, Deployment::Sleutelbos);
-    options.net = net;
+    options.subnet = subnet;
     options.limits = "{linger: 100ms}".to_owned();
     let mut site = Site::start(Deployment::Sleutelbos, options).await?;
     let doc = site.docs[1].clone();
     let text = site.documents()[1].clone();
-    let mut admins: Vec<SocketAddr> = site.entries.iter().map(|e| admin_of(e.addr)).collect();
+    let mut admins: Vec<SocketAddr> = site.entries.iter().map(|e| admin_addr(e.addr)).collect();
     let own = site.workers.iter().filter(|w| w.service == doc.service);
-    admins.extend(own.map(|w| admin_of(w.upstream.agent)));
-    let mut version = applied(&site.apply(&doc.service, &text, 0).await?.stderr);
+    admins.extend(own.map(|w| admin_addr(w.upstream.agent)));
+    let mut version = parse_version(&site.apply(&doc.service, &text, 0).await?.stderr);
     let mut times = Vec::new();
     let before = site.table.history().reads;
     let begun = Instant::now();
     for n in 0..changes {
         let text = format!("{text}# change {n}\n");
         let out = site.apply(&doc.service, &text, version).await?;
-        version = applied(&out.stdout);
+        version = parse_version(&out.stdout);
         let since = Instant::now();
         for admin in &admins {
-            in_force(*admin, &doc.service, version).await?;
+            wait_in_force(*admin, &doc.service, version).await?;
         }
         times.push(since.elapsed().as_millis() as u64);
     }
@@ -73,8 +73,8 @@
     })
 }
 
-/// The version in what `apply` said, whether it was accepted or refused.
-fn applied(text: &str) -> u64 {
+/// Parses the version from the output of `apply`, whether it accepted or refused the document.
+fn parse_version(text: &str) -> u64 {
     let mut words = text
         .split_whitespace()
         .skip_while(|w| *w != "version")
@@ -82,14 +82,16 @@
     words.next().and_then(|w| w.parse().ok()).unwrap_or(0)
 }
 
-async fn in_force(admin: SocketAddr, service: &str, version: u64) -> io::Result<()> {
-    let until = Instant::now() + BOUND;
+async fn wait_in_force(admin: SocketAddr, service: &str, version: u64) -> io::Result<()> {
+    let until = Instant::now() + IN_FORCE_TIMEOUT;
     while Instant::now() < until {
         let seen = document_versions(admin).await?.versions;
         if seen.iter().any(|(s, v)| s == service && *v >= version) {
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(io::Error::other("a document didn't come into force"))
+    Err(io::Error::other(
+        "the document did not come into force in time",
+    ))
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,11 +1,12 @@
-//! What tests and the bench share: a whole system of real processes on loopback
-//! addresses with stand-ins around it, callers that check what they get, and a
-//! judge that compares the callers' histories with the stand-ins'.
+//! Test and measurement support for the whole system on loopback addresses.
+//!
+//! The system's processes run against stand-ins for the platform and the upstreams. Clients
+//! verify the responses they receive, and the records of clients and stand-ins are compared
+//! afterwards.
 
-pub mod bed;
-pub mod caller;
 pub mod capacity;
 pub mod check;
+pub mod client;
 pub mod demo;
 pub mod deploy;
 pub mod driver;
@@ -27,5 +28,6 @@
 pub mod scrape;
 pub mod site;
 pub mod slopes;
+pub mod testbed;
 pub mod up;
 pub mod usage;
--- a/crates/bench/src/mix.rs
+++ b/crates/bench/src/mix.rs
@@ -1,91 +1,97 @@
-//! The users' requests.
+//! Random requests that resemble those of the two deployments.
 
 use crate::deploy::Deployment;
 use fastrand::Rng;
 
-/// A request as a caller makes it.
+/// A request of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
-    /// The service.
+pub struct ClientRequest {
+    /// Name of the service.
     pub service: &'static str,
-    /// The class.
+    /// Request class.
     pub class: &'static str,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// What is asked for.
-    pub what: What,
+    /// Contents of the request.
+    pub kind: RequestKind,
 }
 
-/// What is asked for.
+/// Contents of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum What {
-    /// A completion.
+pub enum RequestKind {
+    /// A completion by an engine.
     Completion {
-        /// The prompt.
+        /// Prompt text.
         prompt: String,
-        /// Tokens wanted.
+        /// Number of requested tokens.
         tokens: u32,
-        /// By the chat form of the API.
+        /// Whether to use the chat endpoint.
         chat: bool,
-        /// Streamed.
+        /// Whether to stream the answer.
         stream: bool,
     },
-    /// A plain call.
+    /// A request to a plain service.
     Plain {
-        /// The method.
+        /// HTTP method.
         method: &'static str,
-        /// The path, without the service.
+        /// Path, without the service.
         path: String,
-        /// The body.
+        /// Request body.
         body: String,
-        /// The caller's key.
+        /// Idempotency key, if any.
         key: Option<String>,
     },
 }
 
-/// Tenants of the mix.
+/// Number of tenants.
 const TENANTS: u64 = 24;
-/// Dossiers and ledgers that are read again and again.
+/// Number of long texts that prompts share as a prefix.
 const DOSSIERS: u64 = 40;
-/// One in so many non-idempotent calls repeats the key of the one before.
+/// One in this many non-idempotent requests repeats the previous one that had a key.
 const REPEAT_EVERY: u64 = 12;
 
-/// Draws requests of a deployment.
+/// Generates random requests for a deployment.
 #[derive(Debug)]
 pub struct Mix {
     deployment: Deployment,
     rng: Rng,
     salt: String,
-    made: u64,
-    last_keyed: Option<Ask>,
+    generated: u64,
+    last_keyed: Option<ClientRequest>,
 }
 
 impl Mix {
-    /// A mix from a seed.
+    /// Creates a generator from a seed.
     pub fn new(deployment: Deployment, seed: u64) -> Self {
         let salt = format!("{}-{seed}", deployment.name());
         Self {
             deployment,
             rng: Rng::with_seed(seed),
             salt,
-            made: 0,
+            generated: 0,
             last_keyed: None,
         }
     }
 
-    /// Draws a request.
-    pub fn draw(&mut self) -> Ask {
-        self.made += 1;
+    /// Generates the next request.
+    pub fn next_request(&mut self) -> ClientRequest {
+        self.generated += 1;
         match (self.deployment, self.rng.u32(..100)) {
-            (Deployment::Sleutelbos, 0..35) => self.read("taalmodel-dossier", "dossier", 24_000),
-            (Deployment::Sleutelbos, 35..65) => self.write("taalmodel-dossier", "reply", 40..90),
+            (Deployment::Sleutelbos, 0..35) => {
+                self.long_prompt("taalmodel-dossier", "dossier", 24_000)
+            }
+            (Deployment::Sleutelbos, 35..65) => {
+                self.long_answer("taalmodel-dossier", "reply", 40..90)
+            }
             (Deployment::Sleutelbos, 65..82) => self.lookup("ledenportaal", "/status/"),
-            (Deployment::Sleutelbos, _) => self.keyed("ledenportaal", "notice", "/notices"),
-            (Deployment::BlueMahoe, 0..35) => self.read("blend-llm", "stock", 20_000),
-            (Deployment::BlueMahoe, 35..60) => self.write("blend-llm", "note", 20..50),
+            (Deployment::Sleutelbos, _) => {
+                self.non_idempotent("ledenportaal", "notice", "/notices")
+            }
+            (Deployment::BlueMahoe, 0..35) => self.long_prompt("blend-llm", "stock", 20_000),
+            (Deployment::BlueMahoe, 35..60) => self.long_answer("blend-llm", "note", 20..50),
             (Deployment::BlueMahoe, 60..75) => self.lookup("shop-api", "/prices/"),
-            (Deployment::BlueMahoe, 75..85) => self.keyed("shop-api", "label", "/labels"),
-            (Deployment::BlueMahoe, _) => self.keyed("shop-api", "reorder", "/reorders"),
+            (Deployment::BlueMahoe, 75..85) => self.non_idempotent("shop-api", "label", "/labels"),
+            (Deployment::BlueMahoe, _) => self.non_idempotent("shop-api", "reorder", "/reorders"),
         }
     }
 
@@ -93,94 +99,104 @@
         format!("tenant-{:02}", self.rng.u64(..TENANTS))
     }
 
-    fn read(&mut self, service: &'static str, class: &'static str, bytes: usize) -> Ask {
+    fn long_prompt(
+        &mut self,
+        service: &'static str,
+        class: &'static str,
+        bytes: usize,
+    ) -> ClientRequest {
         let dossier = self.rng.u64(..DOSSIERS);
         let mut prompt = String::with_capacity(bytes + 128);
         while prompt.len() < bytes {
             let line = prompt.len();
             prompt.push_str(&format!("{} dossier {dossier} line {line}\n", self.salt));
         }
-        prompt.push_str(&format!("question {}: urgent today?", self.made));
-        let what = What::Completion {
+        prompt.push_str(&format!("question {}: urgent today?", self.generated));
+        let kind = RequestKind::Completion {
             prompt,
             tokens: 1,
             chat: false,
             stream: false,
         };
-        Ask {
+        ClientRequest {
             service,
             class,
             tenant: self.tenant(),
-            what,
+            kind,
         }
     }
 
-    fn write(
+    fn long_answer(
         &mut self,
         service: &'static str,
         class: &'static str,
         tokens: std::ops::Range<u32>,
-    ) -> Ask {
+    ) -> ClientRequest {
         let prompt = format!(
             "{} letter {}: explain where they stand",
-            self.salt, self.made
+            self.salt, self.generated
         );
         let tokens = self.rng.u32(tokens);
         let (chat, stream) = (self.rng.bool(), self.rng.u32(..4) > 0);
-        let what = What::Completion {
+        let kind = RequestKind::Completion {
             prompt,
             tokens,
             chat,
             stream,
         };
-        Ask {
+        ClientRequest {
             service,
             class,
             tenant: self.tenant(),
-            what,
+            kind,
         }
     }
 
-    fn lookup(&mut self, service: &'static str, path: &str) -> Ask {
+    fn lookup(&mut self, service: &'static str, path: &str) -> ClientRequest {
         let path = format!("{path}{}?of={}", self.rng.u32(..1000), self.salt);
-        let what = What::Plain {
+        let kind = RequestKind::Plain {
             method: "GET",
             path,
             body: String::new(),
             key: None,
         };
-        Ask {
+        ClientRequest {
             service,
             class: "lookup",
             tenant: self.tenant(),
-            what,
+            kind,
         }
     }
 
-    fn keyed(&mut self, service: &'static str, class: &'static str, path: &str) -> Ask {
+    fn non_idempotent(
+        &mut self,
+        service: &'static str,
+        class: &'static str,
+        path: &str,
+    ) -> ClientRequest {
         if let Some(last) = &self.last_keyed
             && self.rng.u64(..REPEAT_EVERY) == 0
         {
             return last.clone();
         }
-        // Some callers give no key: theirs must run at most once all the same.
-        let key = (self.rng.u32(..5) > 0).then(|| format!("{}-{}", self.salt, self.made));
-        let body = format!("{{\"order\":{},\"of\":\"{}\"}}", self.made, self.salt);
-        let what = What::Plain {
+        // Some requests have no key; these must run at most once, too.
+        let key = (self.rng.u32(..5) > 0).then(|| format!("{}-{}", self.salt, self.generated));
+        let body = format!("{{\"order\":{},\"of\":\"{}\"}}", self.generated, self.salt);
+        let kind = RequestKind::Plain {
             method: "POST",
             path: path.to_owned(),
             body,
             key: key.clone(),
         };
-        let ask = Ask {
+        let request = ClientRequest {
             service,
             class,
             tenant: self.tenant(),
-            what,
+            kind,
         };
         if key.is_some() {
-            self.last_keyed = Some(ask.clone());
+            self.last_keyed = Some(request.clone());
         }
-        ask
+        request
     }
 }
--- a/crates/bench/src/recover.rs
+++ b/crates/bench/src/recover.rs
@@ -1,7 +1,8 @@
-//! How long a large system takes to serve again after all its processes were killed:
-//! gateways as processes, before a store in this process with many upstreams.
+//! Measures how long many gateways take to serve again after all of them were killed.
+//!
+//! The gateways are processes; the store, with many registered upstreams, runs in this process.
 
-use crate::probe::serves;
+use crate::probe::wait_serving;
 use crate::procs::{Proc, Signal, build_binary};
 use serde::Serialize;
 use standin::fixture::{CONFIG_ROW, WORKER_TABLE, config, routes, settings_in, worker_row};
@@ -12,30 +13,30 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Availability zones among which the hosts are spread.
+/// Number of availability zones over which the hosts are distributed.
 const ZONES: usize = 6;
-/// Longest wait until all serve.
-const BOUND: Duration = Duration::from_secs(60);
-/// Time for which all run before they are killed.
-const RUNS_FOR: Duration = Duration::from_secs(3);
-/// Port of the worker that serves, and of the store.
+/// Timeout for a gateway to serve.
+const SERVE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time for which the gateways run before they are killed.
+const RUN_TIME: Duration = Duration::from_secs(3);
+/// Ports of the serving worker and of the store.
 const WORKER_PORT: u16 = 7100;
 const STORE_PORT: u16 = 7003;
 
-/// Times until gateways served, in milliseconds; none for those that never did.
+/// Times until the gateways served, in milliseconds; gateways that timed out are left out.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figures {
-    /// What they came from.
+    /// Event that preceded the start.
     pub after: &'static str,
-    /// Gateways that served in the end.
+    /// Number of gateways that served.
     pub served: usize,
-    /// Until the first of them served.
+    /// Time until the first gateway served.
     pub first_ms: Option<u64>,
-    /// Until half of them did.
+    /// Median time until a gateway served.
     pub median_ms: Option<u64>,
-    /// Until the last of them did.
+    /// Time until the last gateway served.
     pub last_ms: Option<u64>,
-    /// Rows of upstreams that the store gave meanwhile.
+    /// Upstream rows that the store returned in this time.
     pub store_reads: u64,
 }
 
@@ -45,13 +46,13 @@
     settings: PathBuf,
 }
 
-/// Starts so many gateways before so many upstreams, kills all at once and starts them
-/// again.
+/// Starts `hosts` gateways with `upstreams` registered upstreams, kills all of them and starts
+/// them again.
 pub async fn run(hosts: usize, upstreams: usize) -> io::Result<Vec<Figures>> {
-    let own = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 69, 0, 1)), STORE_PORT);
-    let store = Store::start(own)?;
+    let store_addr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 69, 0, 1)), STORE_PORT);
+    let store = Store::start(store_addr)?;
     store.put(CONFIG_ROW.0, CONFIG_ROW.1, &config(1, &routes()));
-    let serving = Worker::start(SocketAddr::new(own.ip(), WORKER_PORT), "i-0").await?;
+    let serving = Worker::start(SocketAddr::new(store_addr.ip(), WORKER_PORT), "i-0").await?;
     serving.set_default_action(Action::Serve(1));
     let row = worker_row("plain", serving.addr, "ready", None);
     store.put(WORKER_TABLE, "i-0", &row);
@@ -70,14 +71,14 @@
     let hosts = write_settings(hosts, &dir, store.addr)?;
     let binary = build_binary().await?;
     let mut out = Vec::new();
-    let mut procs = start(&hosts, &binary)?;
+    let mut procs = start_gateways(&hosts, &binary)?;
     out.push(measure("a first start", &hosts, &store).await);
-    tokio::time::sleep(RUNS_FOR).await;
+    tokio::time::sleep(RUN_TIME).await;
     procs.iter().for_each(|p| p.signal(Signal::Kill));
     for proc in &mut procs {
-        proc.ended().await?;
+        proc.wait().await?;
     }
-    let procs = start(&hosts, &binary)?;
+    let procs = start_gateways(&hosts, &binary)?;
     out.push(measure("all were killed", &hosts, &store).await);
     drop(procs);
     std::fs::remove_dir_all(&dir)?;
@@ -104,7 +105,7 @@
     Ok(out)
 }
 
-fn start(hosts: &[Host], binary: &Path) -> io::Result<Vec<Proc>> {
+fn start_gateways(hosts: &[Host], binary: &Path) -> io::Result<Vec<Proc>> {
     let all = hosts.iter();
     all.map(|h| Proc::start_gateway(binary, &h.name, &h.settings))
         .collect()
@@ -113,15 +114,15 @@
 async fn measure(after: &'static str, hosts: &[Host], store: &Store) -> Figures {
     let since = Instant::now();
     let reads = store.reads(WORKER_TABLE);
-    let mut asked = JoinSet::new();
+    let mut probes = JoinSet::new();
     for host in hosts {
         let at = SocketAddr::new(IpAddr::V4(host.ip), 7000);
-        asked.spawn(async move {
-            let served = tokio::time::timeout(BOUND, serves(at, "")).await;
+        probes.spawn(async move {
+            let served = tokio::time::timeout(SERVE_TIMEOUT, wait_serving(at, "")).await;
             served.ok().map(|()| since.elapsed().as_millis() as u64)
         });
     }
-    let mut times: Vec<u64> = asked.join_all().await.into_iter().flatten().collect();
+    let mut times: Vec<u64> = probes.join_all().await.into_iter().flatten().collect();
     times.sort_unstable();
     Figures {
         after,
--- a/crates/bench/src/schedule.rs
+++ b/crates/bench/src/schedule.rs
@@ -1,53 +1,53 @@
-//! A schedule of faults, drawn from a seed.
+//! Generates a random schedule of faults from a seed.
 
 use fakes::Faults;
 use fastrand::Rng;
 
-/// What a fault is done to, and what is done.
+/// A fault and its target. Targets are given as indices.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// An agent, by place, is killed and later started again.
+    /// Kills an agent and restarts it at the end.
     KillAgent(usize),
-    /// An agent is stopped gracefully and later started again.
+    /// Stops an agent gracefully and restarts it at the end.
     StopAgent(usize),
-    /// An agent is paused.
+    /// Pauses an agent.
     PauseAgent(usize),
-    /// No bytes pass between entries and an agent.
+    /// Stalls the link between the entries and an agent.
     CutAgent(usize),
-    /// An entry is killed and later started again.
+    /// Kills an entry and restarts it at the end.
     KillEntry(usize),
-    /// An entry is stopped gracefully and later started again.
+    /// Stops an entry gracefully and restarts it at the end.
     StopEntry(usize),
-    /// An entry is paused, maybe for longer than its lease.
+    /// Pauses an entry, possibly for longer than its lease.
     PauseEntry(usize),
-    /// A host is called leaving; its agent is started again when it is back.
+    /// Reports the host of a worker as leaving; its agent is restarted when the host is back.
     LeaveHost(usize),
-    /// The table service shows faults.
+    /// Faults of the table service.
     Table(Faults),
-    /// The object store shows faults.
+    /// Faults of the object store.
     Objects(Faults),
-    /// The host list shows faults.
+    /// Faults of the host list.
     Hosts(Faults),
-    /// An upstream, by place, shows faults.
+    /// Faults of an upstream.
     Upstream(usize, Faults),
-    /// Two editors race for the document of a service, by place.
+    /// Lets two editors race for the document of a service.
     Edit(usize),
 }
 
-/// A fault with its time.
+/// A fault with its start and end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Planned {
-    /// When it begins, in milliseconds.
+pub struct ScheduledFault {
+    /// Start in milliseconds after the start of the schedule.
     pub from_ms: u64,
-    /// When it ends.
+    /// End in milliseconds after the start of the schedule.
     pub until_ms: u64,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// How many of each there are.
+/// Numbers of possible targets.
 #[derive(Debug, Clone, Copy)]
-pub struct Counts {
+pub struct SiteSize {
     /// Upstreams with agents.
     pub workers: usize,
     /// Entries.
@@ -56,10 +56,10 @@
     pub services: usize,
 }
 
-/// Draws a schedule. Faults of one lane follow each other, those of different
-/// lanes fall together.
-pub fn draw(seed: u64, length_ms: u64, n: Counts) -> Vec<Planned> {
-    let lanes: [fn(&mut Rng, Counts) -> Fault; 6] = [agent, entry, table, other, upstream, edit];
+/// Generates a schedule. Faults of one lane follow one another; faults of different lanes
+/// overlap.
+pub fn generate(seed: u64, length_ms: u64, n: SiteSize) -> Vec<ScheduledFault> {
+    let lanes: [fn(&mut Rng, SiteSize) -> Fault; 6] = [agent, entry, table, other, upstream, edit];
     let mut all = Vec::new();
     for (lane, draw) in lanes.into_iter().enumerate() {
         let mut rng = Rng::with_seed(seed.wrapping_mul(31).wrapping_add(lane as u64));
@@ -71,7 +71,7 @@
             } else {
                 300 + rng.u64(..5_700)
             };
-            all.push(Planned {
+            all.push(ScheduledFault {
                 from_ms: at,
                 until_ms: (at + lasts).min(length_ms),
                 fault,
@@ -83,7 +83,7 @@
     all
 }
 
-fn agent(rng: &mut Rng, n: Counts) -> Fault {
+fn agent(rng: &mut Rng, n: SiteSize) -> Fault {
     let at = rng.usize(..n.workers);
     match rng.u32(..5) {
         0 => Fault::KillAgent(at),
@@ -94,7 +94,7 @@
     }
 }
 
-fn entry(rng: &mut Rng, n: Counts) -> Fault {
+fn entry(rng: &mut Rng, n: SiteSize) -> Fault {
     let at = rng.usize(..n.entries);
     match rng.u32(..3) {
         0 => Fault::KillEntry(at),
@@ -119,11 +119,11 @@
     }
 }
 
-fn table(rng: &mut Rng, _: Counts) -> Fault {
+fn table(rng: &mut Rng, _: SiteSize) -> Fault {
     Fault::Table(platform(rng))
 }
 
-fn other(rng: &mut Rng, _: Counts) -> Fault {
+fn other(rng: &mut Rng, _: SiteSize) -> Fault {
     if rng.bool() {
         Fault::Objects(platform(rng))
     } else {
@@ -131,7 +131,7 @@
     }
 }
 
-fn upstream(rng: &mut Rng, n: Counts) -> Fault {
+fn upstream(rng: &mut Rng, n: SiteSize) -> Fault {
     let none = Faults::default();
     let some = 1 + rng.u32(..5);
     let faults = match rng.u32(..9) {
@@ -169,6 +169,6 @@
     Fault::Upstream(rng.usize(..n.workers), faults)
 }
 
-fn edit(rng: &mut Rng, n: Counts) -> Fault {
+fn edit(rng: &mut Rng, n: SiteSize) -> Fault {
     Fault::Edit(rng.usize(..n.services))
 }
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -1,15 +1,14 @@
-//! A running deployment: stand-ins in this process, entries and agents as
-//! processes of their own.
+//! A running deployment: stand-ins in this process, entries and agents as child processes.
 
 mod options;
 
 pub use options::Options;
 
 use crate::deploy::{
-    Deployment, admin_of, behind_relay, entry_addr, hosts_addr, objects_addr, table_addr,
-    upstream_of,
+    Deployment, admin_addr, entry_addr, hosts_addr, objects_addr, relayed_agent_addr, table_addr,
+    upstream_addr,
 };
-use crate::procs::{Output, Proc, command};
+use crate::procs::{Output, Proc, run_command};
 use crate::relay::Relay;
 use conf::{Doc, Upstream};
 use fakes::RunningServer;
@@ -26,16 +25,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a process to become ready.
-const READY_BOUND: Duration = Duration::from_secs(60);
-/// Time between looks at whether it is.
-const READY_LOOK: Duration = Duration::from_millis(50);
-/// Longest wait for one answer about health.
-const CALL_BOUND: Duration = Duration::from_secs(2);
-/// Largest such answer.
-const MAX_ANSWER: usize = 1 << 20;
+/// Timeout for a process to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between health checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for a health check.
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of a health response in bytes.
+const MAX_HEALTH_BYTES: usize = 1 << 20;
 
-/// A stand-in upstream.
+/// Stand-in for an upstream.
 #[derive(Debug)]
 pub enum UpstreamStandin {
     /// A model engine.
@@ -47,17 +46,17 @@
 /// An upstream with its agent.
 #[derive(Debug)]
 pub struct Worker {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The upstream, as the document has it.
+    /// The upstream as described in the document.
     pub upstream: Upstream,
-    /// The stand-in.
+    /// Stand-in that serves as the upstream.
     pub standin: UpstreamStandin,
-    /// The agent's process.
+    /// Process of the agent.
     pub agent: Proc,
-    /// Where the agent itself listens.
+    /// Address on which the agent itself listens.
     pub listen: SocketAddr,
-    /// What stands between the entries and the agent, if anything does.
+    /// Relay between the entries and the agent, if any.
     pub relay: Option<Relay>,
     settings: PathBuf,
     _running: RunningServer,
@@ -65,8 +64,8 @@
 
 /// An entry.
 #[derive(Debug)]
-pub struct EntryProc {
-    /// Where it listens.
+pub struct EntryProcess {
+    /// Address on which it listens.
     pub addr: SocketAddr,
     /// The process.
     pub process: Proc,
@@ -76,20 +75,20 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Site {
-    /// Which one.
+    /// The deployment.
     pub deployment: Deployment,
-    /// Its documents.
+    /// Documents of its services.
     pub docs: Vec<Doc>,
-    /// The table service.
+    /// Stand-in for the table service.
     pub table: Arc<FakeTable>,
-    /// The object store.
+    /// Stand-in for the object store.
     pub objects: Arc<FakeObjectStore>,
-    /// The host list.
+    /// Stand-in for the host list.
     pub hosts: Arc<FakeHostList>,
-    /// The upstreams with their agents.
+    /// Upstreams with their agents.
     pub workers: Vec<Worker>,
-    /// The entries.
-    pub entries: Vec<EntryProc>,
+    /// Entries.
+    pub entries: Vec<EntryProcess>,
     options: Options,
     dir: PathBuf,
     _running: Vec<RunningServer>,
@@ -97,29 +96,29 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // Logs are kept where a run asks for it, to look into a failure.
+        // Logs are kept on request, to investigate a failure.
         if std::env::var_os("BENCH_KEEP").is_some() {
-            eprintln!("kept {}", self.dir.display());
+            eprintln!("kept settings and logs in {}", self.dir.display());
             return;
         }
-        // A folder that can't be removed is left for the system to clean.
+        // If the directory can't be removed, the system cleans it up later.
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
 impl Site {
-    /// Starts everything and waits until every process is ready.
+    /// Starts all stand-ins and processes and waits until every process is ready.
     pub async fn start(deployment: Deployment, options: Options) -> io::Result<Self> {
-        let net = options.net;
-        let dir = std::env::temp_dir().join(format!("arbutusquay-{}-{net}", std::process::id()));
+        let subnet = options.subnet;
+        let dir = std::env::temp_dir().join(format!("arbutusquay-{}-{subnet}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         let table = Arc::<FakeTable>::default();
         let objects = Arc::<FakeObjectStore>::default();
-        let hosts = Arc::new(FakeHostList::new(options.host_lag));
+        let hosts = Arc::new(FakeHostList::new(options.host_list_lag));
         let running = vec![
-            fakes::start(table_addr(net), table.clone()).await?,
-            fakes::start(objects_addr(net), objects.clone()).await?,
-            fakes::start(hosts_addr(net), hosts.clone()).await?,
+            fakes::start(table_addr(subnet), table.clone()).await?,
+            fakes::start(objects_addr(subnet), objects.clone()).await?,
+            fakes::start(hosts_addr(subnet), hosts.clone()).await?,
         ];
         let mut site = Self {
             deployment,
@@ -137,21 +136,21 @@
         site.start_entries()?;
         site.apply_documents().await?;
         site.start_workers().await?;
-        site.ready().await?;
+        site.wait_ready().await?;
         Ok(site)
     }
 
     fn start_entries(&mut self) -> io::Result<()> {
         let zones = self.deployment.entry_zones();
         for (i, zone) in zones.iter().cycle().take(self.options.entries).enumerate() {
-            let addr = entry_addr(self.options.net, i);
+            let addr = entry_addr(self.options.subnet, i);
             let name = format!("entry-{}", i + 1);
             let services: Vec<&str> = self.docs.iter().map(|d| d.service.as_str()).collect();
             let services = services.join(", ");
             let host = format!("{}-ingang-{}", self.deployment.name(), i + 1);
-            let settings = self.settings(&name, &host, zone, addr, &services, "")?;
+            let settings = self.write_settings(&name, &host, zone, addr, &services, "")?;
             let process = Proc::start(&self.options.binary, "entry", &name, &settings)?;
-            self.entries.push(EntryProc {
+            self.entries.push(EntryProcess {
                 addr,
                 process,
                 settings,
@@ -170,14 +169,14 @@
         Ok(())
     }
 
-    /// The documents' texts as they were first applied.
+    /// Texts of the documents as first applied.
     pub fn documents(&self) -> Vec<String> {
-        let own = || {
+        let defaults = || {
             self.deployment
-                .documents(self.options.net, self.options.workers)
+                .documents(self.options.subnet, self.options.workers)
                 .to_vec()
         };
-        self.options.documents.clone().unwrap_or_else(own)
+        self.options.documents.clone().unwrap_or_else(defaults)
     }
 
     fn parse_documents(&self) -> io::Result<Vec<Doc>> {
@@ -185,25 +184,35 @@
         self.documents().into_iter().map(parse).collect()
     }
 
-    /// Applies a document's text over a version.
-    pub async fn apply(&self, service: &str, text: &str, over: u64) -> io::Result<Output> {
+    /// Applies the text of a document, with the version that it is expected to replace.
+    pub async fn apply(
+        &self,
+        service: &str,
+        text: &str,
+        expected_version: u64,
+    ) -> io::Result<Output> {
         let file = self.dir.join(format!("{service}.yaml"));
         std::fs::write(&file, text)?;
-        let over = over.to_string();
-        self.command(&["apply", &file.to_string_lossy(), "--over", &over])
-            .await
+        let expected_version = expected_version.to_string();
+        self.command(&[
+            "apply",
+            &file.to_string_lossy(),
+            "--over",
+            &expected_version,
+        ])
+        .await
     }
 
-    /// Runs an operators' command with the first entry's settings.
+    /// Runs an operator command with the settings of the first entry.
     pub async fn command(&self, args: &[&str]) -> io::Result<Output> {
         let settings = self.settings_file();
         let settings = settings.to_string_lossy();
         let mut all = args.to_vec();
         all.extend(["--settings", &settings]);
-        command(&self.options.binary, &all).await
+        run_command(&self.options.binary, &all).await
     }
 
-    /// The first entry's settings file.
+    /// Path of the first entry's settings file.
     pub fn settings_file(&self) -> PathBuf {
         self.entries
             .first()
@@ -221,7 +230,7 @@
     }
 
     async fn start_worker(&self, doc: &Doc, upstream: &Upstream) -> io::Result<Worker> {
-        let addr = upstream_of(upstream.agent);
+        let addr = upstream_addr(upstream.agent);
         let (standin, running) = if doc.is_engine() {
             let engine = FakeEngine::new(self.options.rates.clone());
             (
@@ -229,14 +238,14 @@
                 fakes::start(addr, engine).await?,
             )
         } else {
-            let plain = Arc::new(FakePlainService::new(self.options.plain_work));
+            let plain = Arc::new(FakePlainService::new(self.options.plain_service_time));
             (
                 UpstreamStandin::Plain(plain.clone()),
                 fakes::start(addr, plain).await?,
             )
         };
         let listen = if self.options.relays {
-            behind_relay(upstream.agent)
+            relayed_agent_addr(upstream.agent)
         } else {
             upstream.agent
         };
@@ -247,7 +256,7 @@
         let name = format!("agent-{}", upstream.name);
         let extra = format!("upstream: {{name: {}, address: {addr}}}\n", upstream.name);
         let (host, zone) = (&upstream.host, &upstream.zone);
-        let settings = self.settings(&name, host, zone, listen, &doc.service, &extra)?;
+        let settings = self.write_settings(&name, host, zone, listen, &doc.service, &extra)?;
         let agent = Proc::start(&self.options.binary, "agent", &name, &settings)?;
         Ok(Worker {
             service: doc.service.clone(),
@@ -261,7 +270,7 @@
         })
     }
 
-    fn settings(
+    fn write_settings(
         &self,
         name: &str,
         host: &str,
@@ -270,9 +279,10 @@
         services: &str,
         extra: &str,
     ) -> io::Result<PathBuf> {
-        let net = self.options.net;
-        let (table, objects, hosts) = (table_addr(net), objects_addr(net), hosts_addr(net));
-        let admin = admin_of(addr);
+        let subnet = self.options.subnet;
+        let (table, objects, hosts) =
+            (table_addr(subnet), objects_addr(subnet), hosts_addr(subnet));
+        let admin = admin_addr(addr);
         let text = format!(
             "name: {name}\nhost: {host}\nzone: {zone}\nlisten: {addr}\nadmin: {admin}\n\
              platform: {{table: {table}, objects: {objects}, hosts: {hosts}, timeout: 2s}}\n\
@@ -285,31 +295,31 @@
     }
 
     /// Waits until every process is ready.
-    pub async fn ready(&self) -> io::Result<()> {
+    pub async fn wait_ready(&self) -> io::Result<()> {
         for e in &self.entries {
-            ready(admin_of(e.addr), &e.process.name).await?;
+            wait_ready(admin_addr(e.addr), &e.process.name).await?;
         }
         for w in &self.workers {
-            ready(admin_of(w.listen), &w.agent.name).await?;
+            wait_ready(admin_addr(w.listen), &w.agent.name).await?;
         }
         Ok(())
     }
 
-    /// Starts a worker's agent anew, after the one before has ended.
+    /// Restarts the agent of a worker after it has exited.
     pub fn restart_agent(&mut self, at: usize) -> io::Result<()> {
         let w = &mut self.workers[at];
         w.agent = Proc::start(&self.options.binary, "agent", &w.agent.name, &w.settings)?;
         Ok(())
     }
 
-    /// Starts an entry anew, after the one before has ended.
+    /// Restarts an entry after it has exited.
     pub fn restart_entry(&mut self, at: usize) -> io::Result<()> {
         let e = &mut self.entries[at];
         e.process = Proc::start(&self.options.binary, "entry", &e.process.name, &e.settings)?;
         Ok(())
     }
 
-    /// Stops all processes gracefully, entries first.
+    /// Signals all processes to stop gracefully and waits until they have exited.
     pub async fn stop(&mut self) -> io::Result<()> {
         let mut all: Vec<&mut Proc> = self.entries.iter_mut().map(|e| &mut e.process).collect();
         all.extend(self.workers.iter_mut().map(|w| &mut w.agent));
@@ -317,22 +327,22 @@
             p.signal(crate::procs::Signal::Term);
         }
         for p in all {
-            p.ended().await?;
+            p.wait().await?;
         }
         Ok(())
     }
 
     /// Lag of the host list.
-    pub fn host_lag(&self) -> Duration {
-        self.options.host_lag
+    pub fn host_list_lag(&self) -> Duration {
+        self.options.host_list_lag
     }
 
-    /// Second number of its loopback addresses.
-    pub fn net(&self) -> u8 {
-        self.options.net
+    /// Second octet of its loopback addresses.
+    pub fn subnet(&self) -> u8 {
+        self.options.subnet
     }
 
-    /// Where the processes' settings and logs are.
+    /// Directory with the settings and logs of the processes.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
@@ -343,24 +353,26 @@
     }
 }
 
-/// Waits until a process says that it is ready.
-pub async fn ready(admin: SocketAddr, name: &str) -> io::Result<()> {
-    let pool = Pool::new(admin, CALL_BOUND);
-    let until = tokio::time::Instant::now() + READY_BOUND;
+/// Waits until the process with an admin address reports that it is ready.
+pub async fn wait_ready(admin: SocketAddr, name: &str) -> io::Result<()> {
+    let pool = Pool::new(admin, HEALTH_TIMEOUT);
+    let until = tokio::time::Instant::now() + READY_TIMEOUT;
     loop {
         let req = Request::builder()
             .method(Method::GET)
             .uri("/health")
             .header("host", "bench");
         let req = req.body(empty()).map_err(io::Error::other)?;
-        if let Ok((status, _)) = pool.call(req, MAX_ANSWER, CALL_BOUND).await
+        if let Ok((status, _)) = pool.call(req, MAX_HEALTH_BYTES, HEALTH_TIMEOUT).await
             && status.is_success()
         {
             return Ok(());
         }
         if tokio::time::Instant::now() >= until {
-            return Err(io::Error::other(format!("{name} isn't ready")));
+            return Err(io::Error::other(format!(
+                "{name} did not become ready in time"
+            )));
         }
-        tokio::time::sleep(READY_LOOK).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
--- a/crates/bench/tests/known_red.rs
+++ b/crates/bench/tests/known_red.rs
@@ -1,20 +1,19 @@
-//! The list of tests that are known to fail: CI passes over just these.
+//! Tests the script that reads KNOWN-RED.txt, the list of known failures that CI skips.
 //!
-//! Seen: with a blank line in the list, the linter's and formatter's steps ran and no test at
-//! all, and CI was green; with an entry, each test whose name contains the entry's was passed
-//! over too. An entry that named no test wasn't noticed.
+//! A blank line in the list once made CI skip all tests and pass; an entry also skipped every
+//! test whose name contained it; and entries that matched no test went unnoticed.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// The repository's root.
+/// Root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Reads a list, where the tests have these names.
-fn read(case: &str, list: &str) -> Output {
+/// Runs the script on a list, for a fixed set of test names.
+fn run_script(case: &str, list: &str) -> Output {
     let dir = std::env::temp_dir().join(format!("known-red-{}-{case}", std::process::id()));
     fs::create_dir_all(&dir).unwrap();
     let (file, tests) = (dir.join("list"), dir.join("tests"));
@@ -27,8 +26,8 @@
 }
 
 #[test]
-fn each_entry_names_one_test_whole() {
-    let out = read(
+fn each_entry_is_the_full_name_of_one_test() {
+    let out = run_script(
         "good",
         "one_test: seen: x, issue 1\nmodule::test: y, issue 2\n",
     );
@@ -37,29 +36,29 @@
         String::from_utf8(out.stdout).unwrap(),
         "one_test\nmodule::test\n"
     );
-    let out = read("last-line", "one_test: without a line's end");
+    let out = run_script("last-line", "one_test: without a line's end");
     assert_eq!(String::from_utf8(out.stdout).unwrap(), "one_test\n");
 }
 
 #[test]
-fn a_list_that_would_pass_over_other_tests_is_refused() {
+fn lists_that_would_skip_other_tests_are_rejected() {
     for (case, list) in [
         ("blank", "\n"),
         ("blank-between", "one_test: x\n\nmodule::test: y\n"),
         ("no-name", ": x\n"),
-        ("no-story", "one_test\n"),
+        ("no-description", "one_test\n"),
         ("part", "one_: x\n"),
         ("unknown", "gone_test: x\n"),
         ("words", "a test that fails: x\n"),
     ] {
-        let out = read(case, list);
+        let out = run_script(case, list);
         assert!(!out.status.success(), "{case}: {out:?}");
         assert!(!out.stderr.is_empty(), "{case}");
     }
 }
 
 #[test]
-fn the_list_of_the_tree_is_read_by_ci_that_way() {
+fn ci_reads_the_committed_list_with_the_script() {
     let run = fs::read_to_string(root().join(".ci/run")).unwrap();
     assert!(run.contains(".ci/known-red KNOWN-RED.txt"));
     assert!(run.contains("--exact \"${skip[@]}\""));
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -4,7 +4,7 @@
 use crate::crashing::CrashingRequest;
 use crate::disruption::{Disruption, PlannedStop, STOP_GRACE, Timeline};
 use crate::keys::{HOLDER_GAP, Key, Keys, WINDOW};
-use bench::probe::serves;
+use bench::probe::wait_serving;
 use bench::procs::{Proc, Signal};
 use bench::relay::{Link, Relay};
 use serde_json::json;
@@ -340,7 +340,10 @@
     /// Waits up to `bound` until all gateways serve. Returns whether they do.
     pub async fn all_serve(&self, bound: Duration) -> bool {
         let key = Key::Permanent(0).header();
-        let all = self.gateways.iter().map(|g| serves(g.client_addr, &key));
+        let all = self
+            .gateways
+            .iter()
+            .map(|g| wait_serving(g.client_addr, &key));
         let served = async {
             for one in all {
                 one.await;
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -193,8 +193,8 @@
 
 fn random_link(rng: &mut fastrand::Rng) -> Link {
     match rng.u32(..6) {
-        0 => Link::Held,
-        1 => Link::HeldBack,
+        0 => Link::Stalled,
+        1 => Link::ResponsesStalled,
         2 => Link::Slow(Duration::from_millis(rng.u64(5..80))),
         3 => Link::Broken,
         _ => Link::Open,
--- a/crates/soak/src/stops.rs
+++ b/crates/soak/src/stops.rs
@@ -134,7 +134,7 @@
         6 if cluster.upstreams.len() > 2 => cluster.retire(worker),
         6..8 => cluster.add_worker().await?,
         8..10 => cluster.set_store(random_store_mode(rng)),
-        10 => cluster.set_store_link(gateway, Link::Held),
+        10 => cluster.set_store_link(gateway, Link::Stalled),
         11..14 => cluster.set_store_link(gateway, Link::Open),
         14 => cluster.store.forget_history(),
         _ if rng.u32(..4) == 0 => cluster.signal(gateway, Signal::Kill),
