--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -37,7 +37,7 @@
         return Err(StartError::Settings("an agent serves exactly one service"));
     };
     let (tx, desired) = watch::channel(Vec::new());
-    let also = ExtraRows {
+    let extra_rows = ExtraRows {
         keys: vec![desired_key(service, &upstream.name)],
         tx,
     };
@@ -46,7 +46,7 @@
     // even if it is paused.
     let addr = settings.listen;
     let listener = net::bind(addr).map_err(|e| StartError::Bind(addr, e))?;
-    let node = Node::start(settings, Some(also), stop.clone());
+    let node = Node::start(settings, Some(extra_rows), stop.clone());
     let agent = Agent::new(node.clone(), service, &upstream);
     let ready = agent.clone();
     node.serve_admin(move || ready.is_ready())?;
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -49,14 +49,14 @@
         return status_response(StatusCode::BAD_REQUEST);
     };
     agent.node.documents.note_version(&p.service, p.doc_version);
-    let answer = ProbeAnswer {
+    let probe_answer = ProbeAnswer {
         state: agent.state(),
         wait_ms: expected_first_byte_ms(agent, &p),
         load: agent.admission.load(),
         role: agent.upstream_state().role,
         doc_version: agent.node.documents.version(&agent.service),
     };
-    Response::new(full(encode_compact(&answer)))
+    Response::new(full(encode_compact(&probe_answer)))
 }
 
 /// Expected time until the first byte of the response to the probed request, in milliseconds.
@@ -84,9 +84,9 @@
     let Some((cx, call)) = decode::<(RequestContext, Call)>(body) else {
         return status_response(StatusCode::BAD_REQUEST);
     };
-    let (tx, answer) = stream(MAX_BUFFERED_FRAMES);
+    let (tx, response) = stream(MAX_BUFFERED_FRAMES);
     tokio::spawn(run::serve(agent, cx, call, tx));
-    Response::new(answer)
+    Response::new(response)
 }
 
 fn receive_doc(agent: &Agent, body: &[u8]) -> Response<Body> {
@@ -102,7 +102,7 @@
 }
 
 fn status_response(code: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(empty());
-    *answer.status_mut() = code;
-    answer
+    let mut response = Response::new(empty());
+    *response.status_mut() = code;
+    response
 }
--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -180,8 +180,8 @@
     let response = async {
         // Always uses a new connection. If the upstream closed a kept connection at this moment, it
         // would be unknown whether it received the call.
-        let answer = attempt.agent.plain.send_on_new(req).await?;
-        read_response(answer, limits.body).await
+        let response = attempt.agent.plain.send_on_new(req).await?;
+        read_response(response, limits.body).await
     };
     let response = match tokio::time::timeout(limits.idle_timeout, response).await {
         Ok(response) => response?,
@@ -195,17 +195,17 @@
 }
 
 async fn read_response(
-    mut answer: PooledResponse,
+    mut response: PooledResponse,
     limit: usize,
 ) -> Result<UpstreamResponse, CallError> {
-    let head = &answer.response;
+    let head = &response.response;
     let status = head.status().as_u16();
     let content_type = head
         .headers()
         .get(CONTENT_TYPE)
         .and_then(|v| v.to_str().ok());
     let content_type = content_type.map(str::to_owned);
-    let body = Limited::new(answer.response.body_mut(), limit)
+    let body = Limited::new(response.response.body_mut(), limit)
         .collect()
         .await;
     let body = body
--- a/crates/arbutusquay/src/commands.rs
+++ b/crates/arbutusquay/src/commands.rs
@@ -21,10 +21,10 @@
     })
 }
 
-/// Reads a settings file. Prints its faults if it is invalid.
+/// Reads a settings file. Prints its errors if it is invalid.
 fn settings(path: &Path) -> Result<Settings, Exit> {
-    Settings::parse(&read(path)?).map_err(|faults| {
-        print_faults(path, &faults);
+    Settings::parse(&read(path)?).map_err(|errors| {
+        print_errors(path, &errors);
         Exit::Usage
     })
 }
@@ -34,9 +34,9 @@
     Ok(HttpPlatform::new(&settings(path)?.platform))
 }
 
-fn print_faults(path: &Path, faults: &conf::ParseErrors) {
-    for fault in faults.all() {
-        eprintln!("{}:{fault}", path.display());
+fn print_errors(path: &Path, errors: &conf::ParseErrors) {
+    for error in errors.all() {
+        eprintln!("{}:{error}", path.display());
     }
 }
 
--- a/crates/arbutusquay/src/commands/apply.rs
+++ b/crates/arbutusquay/src/commands/apply.rs
@@ -1,6 +1,6 @@
 //! `apply`: puts a document in force if its version is still the one that was read.
 
-use super::{platform, print_faults, read};
+use super::{platform, print_errors, read};
 use crate::args::ApplyArgs;
 use crate::exit::Exit;
 use conf::Doc;
@@ -25,8 +25,8 @@
 async fn apply(args: &ApplyArgs) -> Result<Exit, Exit> {
     let file = read(&args.file)?;
     let (file_version, text) = split_version(&file);
-    let doc = Doc::parse(&text).map_err(|faults| {
-        print_faults(&args.file, &faults);
+    let doc = Doc::parse(&text).map_err(|errors| {
+        print_errors(&args.file, &errors);
         Exit::Usage
     })?;
     let Some(over) = args.over.or(file_version) else {
--- a/crates/arbutusquay/src/commands/check.rs
+++ b/crates/arbutusquay/src/commands/check.rs
@@ -1,6 +1,6 @@
 //! `check`: prints all faults of a document.
 
-use super::{print_faults, read};
+use super::{print_errors, read};
 use crate::exit::Exit;
 use conf::{Doc, Kind};
 use std::path::Path;
@@ -24,8 +24,8 @@
             );
             Exit::Done
         }
-        Err(faults) => {
-            print_faults(path, &faults);
+        Err(errors) => {
+            print_errors(path, &errors);
             Exit::Usage
         }
     }
--- a/crates/arbutusquay/src/commands/explain.rs
+++ b/crates/arbutusquay/src/commands/explain.rs
@@ -20,7 +20,7 @@
 const RESTART_AFTER_MS: u64 = 5000;
 /// How long before a request's last line other lines about the same work are included, in
 /// milliseconds: as long as hosts remember crashes of upstreams.
-const WORK_HISTORY_MS: u64 = 3_600_000;
+const CRASH_HISTORY_MS: u64 = 3_600_000;
 /// Fields that are printed at the start of a line or are the same in all lines.
 const LEADING: [&str; 5] = ["ts_ms", "level", "process", "event", "request"];
 
@@ -68,7 +68,7 @@
         let is_near = (from..=until).contains(&l.at_ms);
         l.is_of_request(&args.id)
             || (is_near && is_context(l, &own_lines))
-            || is_about_same_work(l, &own_lines)
+            || is_about_same_fingerprint(l, &own_lines)
     });
     for line in printed {
         println!("{}", line.text(first.at_ms));
@@ -154,8 +154,8 @@
 
 /// Returns whether a line is about crashes of upstreams under the same work, or about the decision
 /// to block or release that work.
-fn is_about_same_work(line: &Line, own_lines: &[&Line]) -> bool {
-    let is_work_event = matches!(
+fn is_about_same_fingerprint(line: &Line, own_lines: &[&Line]) -> bool {
+    let is_crash_event = matches!(
         line.event.as_str(),
         "connection_broke"
             | "upstream_went_dark"
@@ -163,11 +163,11 @@
             | "work_released"
             | "work_tried"
     );
-    let work = line.field("work");
+    let fingerprint = line.field("work");
     let until = own_lines.last().map_or(0, |last| last.at_ms);
-    let from = until.saturating_sub(WORK_HISTORY_MS);
-    let is_same = work.is_some() && own_lines.iter().any(|o| o.field("work") == work);
-    is_work_event && is_same && (from..=until).contains(&line.at_ms)
+    let from = until.saturating_sub(CRASH_HISTORY_MS);
+    let is_same = fingerprint.is_some() && own_lines.iter().any(|o| o.field("work") == fingerprint);
+    is_crash_event && is_same && (from..=until).contains(&line.at_ms)
 }
 
 impl Line {
--- a/crates/arbutusquay/tests/explain.rs
+++ b/crates/arbutusquay/tests/explain.rs
@@ -181,7 +181,7 @@
 
 /// The log shows each crash under the same work, though each request had another id.
 #[tokio::test]
-async fn a_request_that_is_held_back_is_explained() {
+async fn a_blocked_request_is_explained() {
     let fixture = start(7).await;
     let SocketAddr::V4(callers) = fixture.callers else {
         panic!("an IPv4 address");
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -27,7 +27,7 @@
 const MAX_ROWS_PER_WRITE: usize = 32;
 /// Number of crashes from which on an entry writes them: 1, as other entries learn of them only
 /// from the rows.
-const MIN_ENDS_TO_RECORD: usize = 1;
+const MIN_CRASHES_TO_RECORD: usize = 1;
 
 /// Work during which upstreams crashed.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     /// Once, as the trial with this number.
     Trial(usize),
     /// Not at all.
-    HoldBack(Confidence),
+    Block(Confidence),
 }
 
 /// Hash of the service, the tenant and the content of a call. The position from which a completion
@@ -61,7 +61,7 @@
 }
 
 /// Identifier for the exit of an upstream's agent, distinct from those of other exits.
-pub fn agent_end_id(upstream: &str) -> u32 {
+pub fn agent_crash_id(upstream: &str) -> u32 {
     Fingerprint::of([&b"agent"[..], upstream.as_bytes()]).0 as u32
 }
 
@@ -86,62 +86,60 @@
     }
 
     /// Records that an upstream crashed while it ran the work, and whether that was a trial.
-    pub fn record_end(&self, work: Fingerprint, end: u32, in_trial: bool) {
+    pub fn record_crash(&self, fingerprint: Fingerprint, upstream: u32, in_trial: bool) {
         let at = Instant::now();
-        let word = Observation::Crash {
-            fingerprint: work,
-            upstream: end,
+        let observation = Observation::Crash {
+            fingerprint,
+            upstream,
             at,
             in_trial,
         };
-        self.apply_report(word, Source::Local);
+        self.apply_report(observation, Source::Local);
     }
 
     /// Records that the work got a complete response.
-    pub fn record_answer(&self, work: Fingerprint) {
+    pub fn record_answer(&self, fingerprint: Fingerprint) {
         let at = Instant::now();
-        self.apply_report(
-            Observation::Answer {
-                fingerprint: work,
-                at,
-            },
-            Source::Local,
-        );
+        self.apply_report(Observation::Answer { fingerprint, at }, Source::Local);
     }
 
-    fn apply_report(&self, word: Observation, source: Source) {
-        let change = self.lock().apply(word, source, false, Instant::now());
-        log_change(word.fingerprint(), change);
+    fn apply_report(&self, observation: Observation, source: Source) {
+        let change = self
+            .lock()
+            .apply(observation, source, false, Instant::now());
+        log_change(observation.fingerprint(), change);
         if change != Change::Unchanged && source == Source::Local {
             self.write_needed.notify_one();
         }
     }
 
     /// Decides whether and how the work may be sent to an upstream now.
-    pub async fn decide(&self, work: Fingerprint) -> SendDecision {
+    pub async fn decide(&self, fingerprint: Fingerprint) -> SendDecision {
         let now = Instant::now();
         let verdict = {
             let mut known = self.lock();
-            let verdict = known.verdict(work, now);
+            let verdict = known.verdict(fingerprint, now);
             if let Verdict::Trial(..) = verdict {
-                known.trial_requested(work, now);
+                known.trial_requested(fingerprint, now);
             }
             verdict
         };
         match verdict {
             Verdict::Allowed | Verdict::Suspected => SendDecision::Allow,
-            Verdict::Blocked(proof) => SendDecision::HoldBack(proof),
-            Verdict::Trial(number, proof) => match self.take_trial(work, number).await {
-                true => SendDecision::Trial(number),
-                false => SendDecision::HoldBack(proof),
-            },
+            Verdict::Blocked(confidence) => SendDecision::Block(confidence),
+            Verdict::Trial(number, confidence) => {
+                match self.take_trial(fingerprint, number).await {
+                    true => SendDecision::Trial(number),
+                    false => SendDecision::Block(confidence),
+                }
+            }
         }
     }
 
     /// Returns a trial that didn't reach an upstream.
-    pub fn return_trial(&self, work: Fingerprint, number: usize) {
-        self.lock().trial_returned(work, number);
-        let (platform, key) = (self.platform.clone(), trial_key(work.0, number));
+    pub fn return_trial(&self, fingerprint: Fingerprint, number: usize) {
+        self.lock().trial_returned(fingerprint, number);
+        let (platform, key) = (self.platform.clone(), trial_key(fingerprint.0, number));
         tokio::spawn(async move {
             let mut txn = Txn::new();
             txn.puts.push(Put { key, value: None });
@@ -152,9 +150,9 @@
     }
 
     /// Reserves a trial among all entries. Returns whether this entry got it.
-    async fn take_trial(&self, work: Fingerprint, number: usize) -> bool {
+    async fn take_trial(&self, fingerprint: Fingerprint, number: usize) -> bool {
         let written = match number < STORED_TRIALS {
-            true => self.write_trial(work, number).await,
+            true => self.write_trial(fingerprint, number).await,
             // These later trials aren't reserved: each entry makes one per minute.
             false => Ok(()),
         };
@@ -163,18 +161,18 @@
             Err(e) => e.to_string(),
         };
         emit(&Event::WorkTried {
-            work: work.to_string(),
+            work: fingerprint.to_string(),
             trial: number + 1,
             outcome,
         });
         if matches!(written, Ok(()) | Err(WriteError::Refused(_))) {
-            self.lock().trial_taken(work, number, Instant::now());
+            self.lock().trial_taken(fingerprint, number, Instant::now());
         }
         written.is_ok()
     }
 
-    async fn write_trial(&self, work: Fingerprint, number: usize) -> Result<(), WriteError> {
-        let key = trial_key(work.0, number);
+    async fn write_trial(&self, fingerprint: Fingerprint, number: usize) -> Result<(), WriteError> {
+        let key = trial_key(fingerprint.0, number);
         let txn = Txn::new().check(key.clone(), 0);
         let txn = txn.put(key, self.encode_row(now_ms(), false));
         self.platform.commit(&txn).await.map(|_| ())
@@ -206,7 +204,7 @@
     async fn write(&self) {
         let (due, answered) = {
             let known = self.lock();
-            let due = known.unrecorded(MIN_ENDS_TO_RECORD, None, MAX_ROWS_PER_WRITE);
+            let due = known.unrecorded(MIN_CRASHES_TO_RECORD, None, MAX_ROWS_PER_WRITE);
             (due, known.obsolete_records(None, MAX_ROWS_PER_WRITE))
         };
         if due.is_empty() && answered.is_empty() {
@@ -283,17 +281,24 @@
         let now = Instant::now();
         let at = now.checked_sub(age).unwrap_or(now);
         match key {
-            CrashKey::End { work, end } => {
-                let word = Observation::Crash {
-                    fingerprint: Fingerprint(work),
+            CrashKey::End {
+                work: fingerprint,
+                end,
+            } => {
+                let observation = Observation::Crash {
+                    fingerprint: Fingerprint(fingerprint),
                     upstream: end,
                     at,
                     in_trial: crash.in_trial,
                 };
-                self.apply_report(word, Source::Store);
+                self.apply_report(observation, Source::Store);
             }
-            CrashKey::Trial { work, number } => {
-                self.lock().trial_taken(Fingerprint(work), number, at);
+            CrashKey::Trial {
+                work: fingerprint,
+                number,
+            } => {
+                self.lock()
+                    .trial_taken(Fingerprint(fingerprint), number, at);
             }
         }
         None
@@ -314,8 +319,8 @@
     keys.map(|key| Put { key, value: None }).collect()
 }
 
-fn log_change(work: Fingerprint, change: Change) {
-    let work = work.to_string();
+fn log_change(fingerprint: Fingerprint, change: Change) {
+    let work = fingerprint.to_string();
     let source = "entries";
     match change {
         Change::Unchanged | Change::Counted(_) => {}
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -76,7 +76,7 @@
     Lost(Reason),
     /// The attempt broke off because the upstream or its agent exited; contains an identifier of
     /// this exit.
-    Ended(Reason, u32),
+    Crashed(Reason, u32),
 }
 
 impl Session {
@@ -175,11 +175,11 @@
                 }
                 Step::Refused(refusal) => self.handle_refusal(refusal)?,
                 Step::Lost(reason) => self.handle_loss(reason)?,
-                Step::Ended(reason, end) => {
+                Step::Crashed(reason, crash_id) => {
                     let in_trial = self.trial.is_some();
                     self.entry
                         .crashes
-                        .record_end(self.fingerprint(), end, in_trial);
+                        .record_crash(self.fingerprint(), crash_id, in_trial);
                     self.handle_loss(reason)?;
                 }
             }
@@ -215,20 +215,20 @@
         if self.entry.crashes.is_empty() {
             return Ok(());
         }
-        let held = match self.entry.crashes.decide(self.fingerprint()).await {
+        let refusal = match self.entry.crashes.decide(self.fingerprint()).await {
             SendDecision::Allow => return Ok(()),
             SendDecision::Trial(number) => {
                 self.trial = Some(number);
                 return Ok(());
             }
-            SendDecision::HoldBack(Confidence::Unconfirmed) => {
+            SendDecision::Block(Confidence::Unconfirmed) => {
                 Refusal::not_run(Reason::CrashSuspected).retry_in(NO_UPSTREAM_RETRY_MS)
             }
-            SendDecision::HoldBack(Confidence::Confirmed) => {
+            SendDecision::Block(Confidence::Confirmed) => {
                 Refusal::not_run(Reason::CrashesUpstreams)
             }
         };
-        Err(self.give_up(held))
+        Err(self.give_up(refusal))
     }
 
     /// Starts the next attempt.
@@ -356,7 +356,7 @@
         match part {
             Part::Refused(refusal) => Step::Refused(refusal),
             Part::Broken => Step::Lost(Reason::UpstreamBroken),
-            Part::UpstreamEnded { end } => Step::Ended(Reason::UpstreamEnded, end),
+            Part::UpstreamEnded { end } => Step::Crashed(Reason::UpstreamEnded, end),
             Part::Started { .. } => {
                 current.started = true;
                 Step::Part(part)
@@ -377,7 +377,7 @@
         let timeout = self.entry.node.settings.limits.probe_timeout;
         match Pool::new(agent, timeout).is_reachable().await {
             true => Step::Lost(Reason::PeerLost),
-            false => Step::Ended(Reason::PeerLost, crashes::agent_end_id(name)),
+            false => Step::Crashed(Reason::PeerLost, crashes::agent_crash_id(name)),
         }
     }
 
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -180,7 +180,7 @@
         let millis = |d: Duration| d.as_millis() as u64;
         emit(&Event::Answered {
             request: &self.id,
-            work: self.fingerprint.map(|work| work.to_string()),
+            work: self.fingerprint.map(|hash| hash.to_string()),
             route: self.route.as_deref(),
             service: self.service.as_deref(),
             under: &ConfigContext {
@@ -239,8 +239,8 @@
 
 impl Drop for Account {
     fn drop(&mut self) {
-        let ending = self.gateway.shutdown_schedule();
-        let reason = match ending.is_some_and(|e| e.refuse_at <= Instant::now()) {
+        let schedule = self.gateway.shutdown_schedule();
+        let reason = match schedule.is_some_and(|s| s.refuse_at <= Instant::now()) {
             true => Reason::ProcessEnds,
             false => Reason::ClientGone,
         };
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -95,7 +95,7 @@
     /// The prefill succeeded, but the process ends before the answer would.
     NoTime,
     /// The request may not be sent to any upstream.
-    Held(Reason),
+    Blocked(Reason),
 }
 
 impl NotRun {
@@ -105,7 +105,7 @@
             Self::Rejected => "rejected",
             Self::PrefillFailed => "prefill failed",
             Self::NoTime => "process stops before the answer would end",
-            Self::Held(why) => why.name(),
+            Self::Blocked(why) => why.name(),
         }
     }
 }
@@ -115,24 +115,24 @@
     call: &Call,
     account: &mut Account,
     plan: &Plan,
-    need: &Requirements<'_>,
+    requirements: &Requirements<'_>,
 ) -> AttemptResult {
     let since = Instant::now();
     account.upstream = Some(plan.instance.clone());
     account.last_sent_to = Some(plan.sent_to());
     account.inputs = call.is_engine.then_some(plan.inputs);
-    let tried = if plan.task == Task::Prefill {
-        attempt_split(call, account, plan, need).await
+    let result = if plan.task == Task::Prefill {
+        attempt_split(call, account, plan, requirements).await
     } else {
         send_to(call, account, plan, Phases::Both).await
     };
-    let (outcome, why) = match &tried {
-        AttemptResult::Started(_) => return tried,
+    let (outcome, why) = match &result {
+        AttemptResult::Started(_) => return result,
         AttemptResult::NotRun(why) => ("not_run", why.name()),
         AttemptResult::Unknown(why) => ("unknown", why.as_str()),
     };
     log_failed_attempt(account, outcome, why, since.elapsed());
-    tried
+    result
 }
 
 /// Logs an attempt without an answer.
@@ -149,7 +149,7 @@
 
 /// Records that an engine prefills the request's prompt.
 fn record_parts(call: &Call, plan: &Plan) {
-    let parts = &call.incoming.prompt_parts;
+    let parts = &call.parsed_headers.prompt_parts;
     call.gateway
         .fleet()
         .record_parts(plan.key, parts, Instant::now());
@@ -160,7 +160,7 @@
     call: &Call,
     account: &mut Account,
     plan: &Plan,
-    step: Phases<'_>,
+    phases: Phases<'_>,
 ) -> AttemptResult {
     let gateway = &call.gateway;
     let load = gateway.add_load(plan.key, plan.inputs.uncached, plan.is_long);
@@ -168,18 +168,18 @@
         record_parts(call, plan);
     }
     let since = Instant::now();
-    let Some(req) = build_request(call, plan, step) else {
+    let Some(req) = build_request(call, plan, phases) else {
         return AttemptResult::NotRun(NotRun::NotSent);
     };
-    let had_run = std::mem::replace(&mut account.may_have_run, true);
+    let could_have_run = std::mem::replace(&mut account.may_have_run, true);
     let begin = account.begin;
     record_sent(call, account, since);
     let watch = unanswered::watch_trial(call, account);
-    let answer = match plan.pool.send_once(req).await {
-        Ok(answer) => answer,
+    let response = match plan.pool.send_once(req).await {
+        Ok(response) => response,
         Err(CallError::NotSent(_)) => {
             watch.cancel();
-            (account.may_have_run, account.begin) = (had_run, begin);
+            (account.may_have_run, account.begin) = (could_have_run, begin);
             record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
             return AttemptResult::NotRun(NotRun::NotSent);
         }
@@ -191,10 +191,10 @@
         }
     };
     account.attempts += 1;
-    let (res, conn) = answer.into_parts();
+    let (res, conn) = response.into_parts();
     let (head, body) = res.into_parts();
-    let from_worker = header::parse_upstream_response(&head.headers, &call.incoming.id);
-    if !from_worker.id_matches {
+    let upstream_response = header::parse_upstream_response(&head.headers, &call.parsed_headers.id);
+    if !upstream_response.id_matches {
         record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
         return AttemptResult::Unknown(format!("{} without this request's id", head.status));
     }
@@ -202,18 +202,18 @@
     if head.status != StatusCode::MISDIRECTED_REQUEST {
         record_alive(gateway, plan, since);
     }
-    if from_worker.not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
+    if upstream_response.not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
         // NB: the body of a rejection is short; the connection is kept only if the body has
         // already arrived.
         if body.is_end_stream() {
             conn.release(Some(idle));
         }
         watch.cancel();
-        (account.may_have_run, account.begin) = (had_run, begin);
+        (account.may_have_run, account.begin) = (could_have_run, begin);
         record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
         return AttemptResult::NotRun(NotRun::Rejected);
     }
-    let is_bad = !from_worker.is_signed || head.headers.contains_key(CONTENT_ENCODING);
+    let is_bad = !upstream_response.is_signed || head.headers.contains_key(CONTENT_ENCODING);
     if head.status.is_success() && is_bad {
         record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
         return AttemptResult::Unknown("success status without a response signature".into());
@@ -310,22 +310,22 @@
 }
 
 /// Builds the request for an upstream; `None` if that fails.
-fn build_request(call: &Call, plan: &Plan, step: Phases<'_>) -> Option<Request<Body>> {
+fn build_request(call: &Call, plan: &Plan, phases: Phases<'_>) -> Option<Request<Body>> {
     let is_engine = call.is_engine;
-    let left = call.incoming.deadline.map(|_| call.time_left());
-    let to_worker = UpstreamRequest {
+    let left = call.parsed_headers.deadline.map(|_| call.time_left());
+    let upstream_request = UpstreamRequest {
         instance: &plan.instance,
         deadline: left.or_else(|| Some(call.time_left())),
         priority: is_engine.then(|| engine_priority(call, plan)),
         last_event_id: call.last_event,
         tenancy: call.tenancy(),
         fetch_from: plan.fetch_from,
-        phases: step,
+        phases,
     };
     let mut req = Request::new(full(call.body.clone()));
     *req.method_mut() = call.method.clone();
     *req.uri_mut() = call.path.clone();
-    *req.headers_mut() = header::upstream_request_headers(&call.headers, &to_worker);
+    *req.headers_mut() = header::upstream_request_headers(&call.headers, &upstream_request);
     Some(req)
 }
 
@@ -342,9 +342,9 @@
     }
     let service = upstream.service;
     let slowdown = upstream.slowdown.factor();
-    let speed = fleet.latency_model_mut(service, plan.task);
-    let estimate = speed.estimate(plan.inputs.backlog);
-    speed.add_sample(plan.inputs.backlog, ms / slowdown);
+    let latency_model = fleet.latency_model_mut(service, plan.task);
+    let estimate = latency_model.estimate(plan.inputs.backlog);
+    latency_model.add_sample(plan.inputs.backlog, ms / slowdown);
     if let Some(upstream) = fleet.get_mut(plan.key) {
         upstream.slowdown.add_sample(ms, estimate);
     }
@@ -375,7 +375,7 @@
 
 fn log_bad_answer(call: &Call, plan: &Plan, why: String) {
     emit(&Event::BadAnswer {
-        request: call.incoming.id.clone(),
+        request: call.parsed_headers.id.clone(),
         upstream: &plan.instance,
         why,
     });
--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -27,22 +27,22 @@
     call: &Call,
     account: &mut Account,
     plan: &Plan,
-    need: &Requirements<'_>,
+    requirements: &Requirements<'_>,
 ) -> AttemptResult {
     // The first prefill of a request is free, others count as retries.
     let is_again = std::mem::replace(&mut account.was_prefilled, true);
-    if is_again && !call.gateway.spend_retry(need.service) {
+    if is_again && !call.gateway.spend_retry(requirements.service) {
         return AttemptResult::NotRun(NotRun::PrefillFailed);
     }
     let Some(prefilled) = prefill(call, account, plan).await else {
         return AttemptResult::NotRun(NotRun::PrefillFailed);
     };
     account.prefill_after = Some(account.received_at.elapsed());
-    let tried = generate_from_cache(call, account, plan, need, &prefilled).await;
-    if matches!(tried, AttemptResult::NotRun(_)) && !has_restarted(call, plan) {
+    let result = generate_from_cache(call, account, plan, requirements, &prefilled).await;
+    if matches!(result, AttemptResult::NotRun(_)) && !has_restarted(call, plan) {
         release_cache(plan.pool.clone(), &prefilled);
     }
-    tried
+    result
 }
 
 /// Whether the engine that prefilled the prompt has restarted. Its KV cache is then lost, and the
@@ -58,26 +58,27 @@
     call: &Call,
     account: &mut Account,
     plan: &Plan,
-    need: &Requirements<'_>,
+    requirements: &Requirements<'_>,
     prefilled: &Prefilled,
 ) -> AttemptResult {
     let source = prefilled.source(plan.addr);
-    let mut excluded = need.tried.to_vec();
+    let mut excluded = requirements.tried.to_vec();
     let mut last = AttemptResult::NotRun(NotRun::PrefillFailed);
     let mut was_rejected = false;
     for _ in 0..MAX_GENERATORS {
         if has_restarted(call, plan) {
             break;
         }
-        let need = Requirements {
+        let requirements = Requirements {
             tried: &excluded,
-            ..*need
+            ..*requirements
         };
-        let Choice::Send(generator) = choose_generator(&call.gateway, &need, plan.key) else {
+        let Choice::Send(generator) = choose_generator(&call.gateway, &requirements, plan.key)
+        else {
             break;
         };
-        if let Admission::Rejected(why) = crashes::admit(call, account).await {
-            return AttemptResult::NotRun(NotRun::Held(why));
+        if let Admission::Blocked(why) = crashes::admit(call, account).await {
+            return AttemptResult::NotRun(NotRun::Blocked(why));
         }
         // A rejected send counts against the route's attempts and the retry budget.
         if was_rejected && !call.acquire_retry(account) {
@@ -121,8 +122,8 @@
     record_parts(call, plan);
     let since = Instant::now();
     let req = build_request(call, plan, Phases::Prefill)?;
-    let answer = match plan.pool.send_once(req).await {
-        Ok(answer) => answer,
+    let response = match plan.pool.send_once(req).await {
+        Ok(response) => response,
         Err(e) => {
             if let CallError::MaybeSent(_) = e {
                 connection_broke(call, account);
@@ -132,10 +133,10 @@
             return None;
         }
     };
-    let (res, conn) = answer.into_parts();
+    let (res, conn) = response.into_parts();
     let (head, body) = res.into_parts();
     if head.status != StatusCode::OK
-        || !header::parse_upstream_response(&head.headers, &call.incoming.id).id_matches
+        || !header::parse_upstream_response(&head.headers, &call.parsed_headers.id).id_matches
     {
         record_failure(gateway, plan, CONNECTION_FAILURE_WEIGHT);
         log_bad_answer(call, plan, format!("prefill answered with {}", head.status));
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -136,29 +136,33 @@
 }
 
 /// Selects an upstream for a request.
-pub fn choose(gateway: &Gateway, need: &Requirements<'_>) -> Choice {
+pub fn choose(gateway: &Gateway, requirements: &Requirements<'_>) -> Choice {
     let now = Instant::now();
     let fleet = gateway.fleet();
-    if need.is_isolated {
-        return choose_isolated(&fleet, need, now);
+    if requirements.is_isolated {
+        return choose_isolated(&fleet, requirements, now);
     }
-    if fleet.info(need.service).engine.is_none() {
-        return choose_plain(&fleet, &gateway.host().zone, need, now);
+    if fleet.info(requirements.service).engine.is_none() {
+        return choose_plain(&fleet, &gateway.host().zone, requirements, now);
     }
-    if need.is_long() {
-        return choose_for_long_answer(&fleet, need, now);
+    if requirements.is_long() {
+        return choose_for_long_answer(&fleet, requirements, now);
     }
-    home::choose_home(&fleet, need, now)
+    home::choose_home(&fleet, requirements, now)
 }
 
 /// Selects an engine to generate from the KV cache on `holder`.
-pub fn choose_generator(gateway: &Gateway, need: &Requirements<'_>, holder: UpstreamKey) -> Choice {
+pub fn choose_generator(
+    gateway: &Gateway,
+    requirements: &Requirements<'_>,
+    holder: UpstreamKey,
+) -> Choice {
     let now = Instant::now();
     let fleet = gateway.fleet();
     let zone = fleet.get(holder).map_or("", |u| &u.instance.zone);
-    match best_generator(&fleet, zone, need, now) {
+    match best_generator(&fleet, zone, requirements, now) {
         Some((key, upstream)) => {
-            let plan = plan(&fleet, key, upstream, need, Task::Decode, 0);
+            let plan = plan(&fleet, key, upstream, requirements, Task::Decode, 0);
             Choice::Send(Box::new(plan))
         }
         None => Choice::NoUpstream,
@@ -168,10 +172,10 @@
 fn best_generator<'a>(
     fleet: &'a Fleet,
     zone: &str,
-    need: &'a Requirements<'_>,
+    requirements: &'a Requirements<'_>,
     now: Instant,
 ) -> Option<(UpstreamKey, &'a Upstream)> {
-    let all = candidates(fleet, need, now).filter(|(_, u)| can_generate(u));
+    let all = candidates(fleet, requirements, now).filter(|(_, u)| can_generate(u));
     let cost = |u: &Upstream| generator_cost_ms(fleet, u, Task::Decode) + zone_cost_ms(u, zone);
     let best = all.map(|(key, u)| (key, u, cost(u)));
     let best = best.min_by(|a, b| a.2.total_cmp(&b.2));
@@ -181,15 +185,15 @@
 /// Upstreams of the service that are available for the request.
 fn candidates<'a>(
     fleet: &'a Fleet,
-    need: &'a Requirements<'_>,
+    requirements: &'a Requirements<'_>,
     now: Instant,
 ) -> impl Iterator<Item = (UpstreamKey, &'a Upstream)> {
     fleet.iter().filter(move |(key, u)| {
-        u.service == need.service
+        u.service == requirements.service
             && u.is_open()
             && !u.is_suspended(now)
             && !u.is_changing(now)
-            && !need.tried.contains(key)
+            && !requirements.tried.contains(key)
     })
 }
 
@@ -218,16 +222,21 @@
 }
 
 /// Selects the upstream with the lowest load per slot, with a preference for this zone.
-fn choose_plain(fleet: &Fleet, zone: &str, need: &Requirements<'_>, now: Instant) -> Choice {
+fn choose_plain(
+    fleet: &Fleet,
+    zone: &str,
+    requirements: &Requirements<'_>,
+    now: Instant,
+) -> Choice {
     let cost = |u: &Upstream| {
         let load = f64::from(u.all_running()) / f64::from(u.instance.slots);
         let is_far = u.instance.zone != zone;
         load + f64::from(u8::from(is_far)) * PLAIN_CROSS_ZONE_LOAD + fastrand::f64() * PLAIN_JITTER
     };
-    let all = candidates(fleet, need, now).map(|(key, u)| (key, u, cost(u)));
+    let all = candidates(fleet, requirements, now).map(|(key, u)| (key, u, cost(u)));
     match all.min_by(|a, b| a.2.total_cmp(&b.2)) {
         Some((key, upstream, _)) => {
-            let plan = plan(fleet, key, upstream, need, Task::Generate, 0);
+            let plan = plan(fleet, key, upstream, requirements, Task::Generate, 0);
             Choice::Send(Box::new(plan))
         }
         None => Choice::NoUpstream,
@@ -238,12 +247,12 @@
 /// possible are lost if the upstream crashes. An unreachable upstream also has few requests, so a
 /// silent one is the last choice. The prompt is prefilled on the engine that generates, so that
 /// only one engine gets the request.
-fn choose_isolated(fleet: &Fleet, need: &Requirements<'_>, now: Instant) -> Choice {
-    let all = candidates(fleet, need, now).filter(|(_, u)| can_generate(u));
+fn choose_isolated(fleet: &Fleet, requirements: &Requirements<'_>, now: Instant) -> Choice {
+    let all = candidates(fleet, requirements, now).filter(|(_, u)| can_generate(u));
     match all.min_by_key(|(_, u)| (u.is_silent(now), u.all_running())) {
         Some((key, upstream)) => {
-            let uncached = need.prompt_tokens;
-            let plan = plan(fleet, key, upstream, need, Task::Generate, uncached);
+            let uncached = requirements.prompt_tokens;
+            let plan = plan(fleet, key, upstream, requirements, Task::Generate, uncached);
             Choice::Send(Box::new(plan))
         }
         None => Choice::NoUpstream,
@@ -251,14 +260,14 @@
 }
 
 /// Selects the engine with the lowest generator cost; a random amount breaks ties.
-fn choose_for_long_answer(fleet: &Fleet, need: &Requirements<'_>, now: Instant) -> Choice {
-    let all = candidates(fleet, need, now).filter(|(_, u)| can_generate(u));
+fn choose_for_long_answer(fleet: &Fleet, requirements: &Requirements<'_>, now: Instant) -> Choice {
+    let all = candidates(fleet, requirements, now).filter(|(_, u)| can_generate(u));
     let cost = |u: &Upstream| generator_cost_ms(fleet, u, Task::Generate) + fastrand::f64();
     let best = all.map(|(key, u)| (key, u, cost(u)));
     match best.min_by(|a, b| a.2.total_cmp(&b.2)) {
         Some((key, upstream, _)) => {
-            let uncached = need.prompt_tokens;
-            let plan = plan(fleet, key, upstream, need, Task::Generate, uncached);
+            let uncached = requirements.prompt_tokens;
+            let plan = plan(fleet, key, upstream, requirements, Task::Generate, uncached);
             Choice::Send(Box::new(plan))
         }
         None => Choice::NoUpstream,
@@ -276,7 +285,7 @@
     fleet: &Fleet,
     key: UpstreamKey,
     upstream: &Upstream,
-    need: &Requirements<'_>,
+    requirements: &Requirements<'_>,
     task: Task,
     uncached: u32,
 ) -> Plan {
@@ -288,11 +297,11 @@
         pool: upstream.pool.clone(),
         task,
         fetch_from: None,
-        is_long: need.is_long(),
+        is_long: requirements.is_long(),
         inputs: ChoiceInputs {
             estimate_ms: fleet.estimate_ms(upstream, task, uncached),
             generator_ms: 0.0,
-            admit_ms: need.max_estimate().as_secs_f64() * 1000.0,
+            admit_ms: requirements.max_estimate().as_secs_f64() * 1000.0,
             uncached,
             backlog: upstream.backlog(uncached),
             running: upstream.all_running(),
--- a/crates/gateway/src/choose/home.rs
+++ b/crates/gateway/src/choose/home.rs
@@ -29,22 +29,22 @@
 const MAX_HOMES: usize = 2;
 
 /// Selects the better of the prompt's homes, or refuses the request if the estimate is too long.
-pub(super) fn choose_home(fleet: &Fleet, need: &Requirements<'_>, now: Instant) -> Choice {
-    let can_split = candidates(fleet, need, now).any(|(_, u)| can_generate(u));
-    let at_prefill_only = can_split && has_enough_prefill_engines(fleet, need.service);
+pub(super) fn choose_home(fleet: &Fleet, requirements: &Requirements<'_>, now: Instant) -> Choice {
+    let can_split = candidates(fleet, requirements, now).any(|(_, u)| can_generate(u));
+    let at_prefill_only = can_split && has_enough_prefill_engines(fleet, requirements.service);
     let usable = |u: &Upstream| match can_generate(u) {
         true => !at_prefill_only,
         false => can_split,
     };
-    let usable: Vec<_> = candidates(fleet, need, now)
+    let usable: Vec<_> = candidates(fleet, requirements, now)
         .filter(|(_, u)| usable(u))
         .collect();
     let mut best: Option<Candidate> = None;
-    let homes = homes(need.parts, &usable);
+    let homes = homes(requirements.parts, &usable);
     let first = homes.first().map(|(_, u)| *u);
     for home in homes.into_iter().take(MAX_HOMES) {
         let holder = first.filter(|f| f.hash != home.1.hash);
-        let candidate = Candidate::evaluate(fleet, need, home, holder, now);
+        let candidate = Candidate::evaluate(fleet, requirements, home, holder, now);
         let is_better = best.as_ref().is_none_or(|b| candidate.is_better_than(b));
         if is_better {
             best = Some(candidate);
@@ -73,7 +73,7 @@
     /// Evaluates a home. `holder` is the prompt's first home if this is another one.
     fn evaluate(
         fleet: &Fleet,
-        need: &Requirements<'_>,
+        requirements: &Requirements<'_>,
         (key, home): (UpstreamKey, &Upstream),
         holder: Option<&Upstream>,
         now: Instant,
@@ -82,19 +82,19 @@
             true => Task::Prefill,
             false => Task::Generate,
         };
-        let fetch = CacheFetch::between(fleet, need.parts, home, holder);
+        let fetch = CacheFetch::between(fleet, requirements.parts, home, holder);
         let uncached = fetch.uncached;
-        let mut plan = plan(fleet, key, home, need, task, uncached);
-        let generator = GeneratorEstimate::for_home(fleet, need, home, now);
+        let mut plan = plan(fleet, key, home, requirements, task, uncached);
+        let generator = GeneratorEstimate::for_home(fleet, requirements, home, now);
         plan.fetch_from = fetch.from;
         plan.inputs.estimate_ms += fetch.ms + generator.ms;
         plan.inputs.generator_ms = generator.ms;
         let idle_estimate_ms =
             fleet.idle_estimate_ms(home, task, uncached) + generator.idle_estimate_ms;
-        let late_ms =
-            idle_estimate_ms + need.latency_target.as_secs_f64() * 1000.0 * MAX_WAIT_FRACTION;
+        let late_ms = idle_estimate_ms
+            + requirements.latency_target.as_secs_f64() * 1000.0 * MAX_WAIT_FRACTION;
         plan.inputs.admit_ms = plan.inputs.admit_ms.max(late_ms);
-        let own = need.unshared_tokens();
+        let own = requirements.unshared_tokens();
         let repeated_ms =
             fleet.estimate_ms(home, task, uncached) - fleet.estimate_ms(home, task, own);
         Self {
@@ -155,11 +155,16 @@
 }
 
 impl GeneratorEstimate {
-    fn for_home(fleet: &Fleet, need: &Requirements<'_>, home: &Upstream, now: Instant) -> Self {
+    fn for_home(
+        fleet: &Fleet,
+        requirements: &Requirements<'_>,
+        home: &Upstream,
+        now: Instant,
+    ) -> Self {
         if !home.is_prefill_only() {
             return Self::default();
         }
-        let best = best_generator(fleet, &home.instance.zone, need, now);
+        let best = best_generator(fleet, &home.instance.zone, requirements, now);
         best.map_or_else(Self::default, |(_, upstream)| Self {
             ms: fleet.estimate_ms(upstream, Task::Decode, 0),
             idle_estimate_ms: fleet.idle_estimate_ms(upstream, Task::Decode, 0),
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -76,12 +76,12 @@
 }
 
 /// Applies a report, logs the resulting change, and wakes the writer of rows.
-fn apply(gateway: &Gateway, word: Observation, source: Source, forward: bool) -> Change {
+fn apply(gateway: &Gateway, observation: Observation, source: Source, forward: bool) -> Change {
     let change = gateway
         .crashes
         .lock()
-        .apply(word, source, forward, Instant::now());
-    log_change(word.fingerprint(), change, source);
+        .apply(observation, source, forward, Instant::now());
+    log_change(observation.fingerprint(), change, source);
     if change != Change::Unchanged {
         gateway.crashes.write_pending.notify_one();
     }
@@ -89,8 +89,8 @@
 }
 
 /// Logs that a request is held back or released.
-fn log_change(work: Fingerprint, change: Change, source: Source) {
-    let work = work.to_string();
+fn log_change(fingerprint: Fingerprint, change: Change, source: Source) {
+    let work = fingerprint.to_string();
     let source = source_name(source);
     match change {
         Change::Unchanged | Change::Counted(_) => {}
@@ -113,52 +113,62 @@
     if gateway.crashes.lock().is_empty() {
         return;
     }
-    let word = Observation::Answer {
+    let observation = Observation::Answer {
         fingerprint: call.fingerprint(),
         at: Instant::now(),
     };
-    apply(gateway, word, Source::Local, true);
+    apply(gateway, observation, Source::Local, true);
 }
 
 /// Applies the crash reports in a peer's datagram. In a tree they are forwarded.
 pub fn receive(gateway: &Gateway, status: &PeerStatus, now: Instant) {
     for report in &status.crashes {
         // A report from before the start of this host's clock is too old to matter.
-        if let Some(word) = from_report(report, now) {
-            apply(gateway, word, Source::Peer, status.scope != Scope::Direct);
+        if let Some(observation) = from_report(report, now) {
+            apply(
+                gateway,
+                observation,
+                Source::Peer,
+                status.scope != Scope::Direct,
+            );
         }
     }
 }
 
 /// Crash reports to include in the next datagrams.
 pub fn pending_reports(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
-    let words = gateway.crashes.lock().due_observations(now);
-    words.iter().map(|word| to_report(word, now)).collect()
+    let observations = gateway.crashes.lock().due_observations(now);
+    observations
+        .iter()
+        .map(|observation| to_report(observation, now))
+        .collect()
 }
 
 /// Crashes that are recorded in the store, for a peer that is starting.
-pub fn recorded_ends(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
+pub fn recorded_crashes(gateway: &Gateway, now: Instant) -> Vec<CrashReport> {
     let recorded = gateway.crashes.lock().recorded();
-    let words = recorded.iter().map(|r| Observation::Crash {
+    let observations = recorded.iter().map(|r| Observation::Crash {
         fingerprint: r.fingerprint,
         upstream: r.upstream,
         at: r.at,
         in_trial: r.in_trial,
     });
-    words.map(|word| to_report(&word, now)).collect()
+    observations
+        .map(|observation| to_report(&observation, now))
+        .collect()
 }
 
 /// Applies the recorded crashes received from a peer.
 pub fn apply_recorded(gateway: &Gateway, reports: &[CrashReport], now: Instant) {
     for report in reports {
-        if let Some(word) = from_report(report, now) {
-            apply(gateway, word, Source::Peer, false);
+        if let Some(observation) = from_report(report, now) {
+            apply(gateway, observation, Source::Peer, false);
         }
     }
 }
 
-fn to_report(word: &Observation, now: Instant) -> CrashReport {
-    let (at, upstream, in_trial) = match *word {
+fn to_report(observation: &Observation, now: Instant) -> CrashReport {
+    let (at, upstream, in_trial) = match *observation {
         Observation::Crash {
             upstream,
             at,
@@ -167,10 +177,10 @@
         } => (at, Some(upstream), in_trial),
         Observation::Answer { at, .. } => (at, None, false),
     };
-    let Fingerprint(work) = word.fingerprint();
+    let Fingerprint(hash) = observation.fingerprint();
     let ago = now.saturating_duration_since(at).as_millis();
     CrashReport {
-        work: [(work >> 64) as u64, work as u64],
+        work: [(hash >> 64) as u64, hash as u64],
         upstream,
         ago_ms: u32::try_from(ago).unwrap_or(u32::MAX),
         in_trial,
@@ -179,18 +189,15 @@
 
 fn from_report(report: &CrashReport, now: Instant) -> Option<Observation> {
     let [high, low] = report.work.map(u128::from);
-    let work = Fingerprint(high << 64 | low);
+    let fingerprint = Fingerprint(high << 64 | low);
     let at = now.checked_sub(Duration::from_millis(report.ago_ms.into()))?;
     Some(match report.upstream {
         Some(upstream) => Observation::Crash {
-            fingerprint: work,
+            fingerprint,
             upstream,
             at,
             in_trial: report.in_trial,
         },
-        None => Observation::Answer {
-            fingerprint: work,
-            at,
-        },
+        None => Observation::Answer { fingerprint, at },
     })
 }
--- a/crates/gateway/src/crashes/admit.rs
+++ b/crates/gateway/src/crashes/admit.rs
@@ -17,12 +17,12 @@
     /// To the least loaded upstream, as the request may crash it.
     Quarantined,
     /// Not at all, for the given reason.
-    Rejected(Reason),
+    Blocked(Reason),
 }
 
 impl From<Confidence> for Reason {
-    fn from(proof: Confidence) -> Self {
-        match proof {
+    fn from(confidence: Confidence) -> Self {
+        match confidence {
             Confidence::Unconfirmed => Self::CrashSuspected,
             Confidence::Confirmed => Self::CrashesUpstreams,
         }
@@ -33,7 +33,7 @@
 /// generation after a prefill, and resumption of a broken stream.
 pub async fn admit(call: &Call, account: &mut Account) -> Admission {
     if let Err(why) = call.check_key(account) {
-        return Admission::Rejected(why);
+        return Admission::Blocked(why);
     }
     let crashes = &call.gateway.crashes;
     if crashes.lock().is_empty() {
@@ -43,30 +43,30 @@
         // The trial wasn't used, as the upstream chosen for it accepted no connection.
         return Admission::Quarantined;
     }
-    let work = call.fingerprint();
+    let fingerprint = call.fingerprint();
     let now = Instant::now();
     let verdict = {
         let mut crashes = crashes.lock();
-        let verdict = crashes.verdict(work, now);
+        let verdict = crashes.verdict(fingerprint, now);
         if let Verdict::Trial(..) = verdict {
-            crashes.trial_requested(work, now);
+            crashes.trial_requested(fingerprint, now);
         }
         verdict
     };
     if verdict != Verdict::Allowed {
-        account.fingerprint = Some(work);
+        account.fingerprint = Some(fingerprint);
     }
     match verdict {
         Verdict::Allowed => Admission::Normal,
         Verdict::Suspected => Admission::Quarantined,
-        Verdict::Blocked(proof) => Admission::Rejected(proof.into()),
-        Verdict::Trial(number, proof) => {
-            match rows::take_trial(&call.gateway, work, number).await {
+        Verdict::Blocked(confidence) => Admission::Blocked(confidence.into()),
+        Verdict::Trial(number, confidence) => {
+            match rows::take_trial(&call.gateway, fingerprint, number).await {
                 true => {
                     account.trial = Some(number);
                     Admission::Quarantined
                 }
-                false => Admission::Rejected(proof.into()),
+                false => Admission::Blocked(confidence.into()),
             }
         }
     }
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -19,7 +19,7 @@
 struct BrokenConnection {
     gateway: Arc<Gateway>,
     request: String,
-    work: Fingerprint,
+    fingerprint: Fingerprint,
     key: UpstreamKey,
     tag: u32,
     instance: String,
@@ -33,12 +33,12 @@
         return;
     };
     let SentTo { key, tag } = sent;
-    let work = call.fingerprint();
-    account.fingerprint = Some(work);
+    let fingerprint = call.fingerprint();
+    account.fingerprint = Some(fingerprint);
     let broken = BrokenConnection {
         gateway: call.gateway.clone(),
         request: account.id.clone(),
-        work,
+        fingerprint,
         key,
         tag,
         instance,
@@ -53,21 +53,21 @@
         tokio::time::sleep(LIVENESS_WINDOW).await;
         let has_ended = self.has_ended();
         if has_ended {
-            let word = Observation::Crash {
-                fingerprint: self.work,
+            let observation = Observation::Crash {
+                fingerprint: self.fingerprint,
                 upstream: self.tag,
                 at: self.at,
                 in_trial: self.in_trial,
             };
-            super::apply(&self.gateway, word, Source::Local, true);
+            super::apply(&self.gateway, observation, Source::Local, true);
         }
         emit(&Event::ConnectionBroke {
             request: &self.request,
-            work: self.work.to_string(),
+            work: self.fingerprint.to_string(),
             upstream: &self.instance,
             upstream_ended: has_ended,
             in_trial: self.in_trial,
-            ends: self.gateway.crashes.lock().crash_count(self.work),
+            ends: self.gateway.crashes.lock().crash_count(self.fingerprint),
         });
     }
 
--- a/crates/gateway/src/crashes/fingerprint.rs
+++ b/crates/gateway/src/crashes/fingerprint.rs
@@ -9,7 +9,7 @@
     let path = call.path.path_and_query().map_or("", |p| p.as_str());
     let parts = [
         call.method.as_str().as_bytes(),
-        call.incoming.host.as_bytes(),
+        call.parsed_headers.host.as_bytes(),
         path.as_bytes(),
         call.tenant_name().unwrap_or_default().as_bytes(),
         &call.body,
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -40,7 +40,7 @@
 /// Maximum number of rows written or removed per call.
 const MAX_ROWS_PER_CALL: usize = 32;
 /// Maximum number of crashes whose rows, with those of the request's trials, fit into one removal.
-const MAX_ENDS_PER_CALL: usize = MAX_ENTRIES / (1 + STORED_TRIALS);
+const MAX_CRASHES_PER_CALL: usize = MAX_ENTRIES / (1 + STORED_TRIALS);
 /// Number of rows from which only crashes of held back requests are written; a table of this size
 /// is read in two pages.
 const MAX_SUSPECT_ROWS: usize = 256;
@@ -106,14 +106,14 @@
 fn merge(gateway: &Gateway, changes: &[CrashChange], is_full_read: bool) {
     if is_full_read {
         let is_present = |record: &CrashRecord| {
-            let key = end_key(record);
+            let key = crash_key(record);
             changes
                 .iter()
                 .any(|c| matches!(c, CrashChange::Written(row) if row.key == key))
         };
         let recorded = gateway.crashes.lock().recorded();
         for record in recorded.iter().filter(|record| !is_present(record)) {
-            forget_end(gateway, record.fingerprint, record.upstream);
+            forget_crash(gateway, record.fingerprint, record.upstream);
         }
     }
     for change in changes {
@@ -125,19 +125,19 @@
 }
 
 fn apply_removed(gateway: &Gateway, key: CrashKey) {
-    let work = Fingerprint(key.fingerprint);
+    let fingerprint = Fingerprint(key.fingerprint);
     match key.kind {
-        CrashRowKind::End(upstream) => forget_end(gateway, work, upstream),
+        CrashRowKind::End(upstream) => forget_crash(gateway, fingerprint, upstream),
         CrashRowKind::Trial(number) => {
             let mut crashes = gateway.crashes.lock();
-            crashes.trial_returned(work, number as usize);
+            crashes.trial_returned(fingerprint, number as usize);
         }
     }
 }
 
-fn forget_end(gateway: &Gateway, work: Fingerprint, upstream: u32) {
-    let change = gateway.crashes.lock().remove_crash(work, upstream);
-    log_change(work, change, Source::Store);
+fn forget_crash(gateway: &Gateway, fingerprint: Fingerprint, upstream: u32) {
+    let change = gateway.crashes.lock().remove_crash(fingerprint, upstream);
+    log_change(fingerprint, change, Source::Store);
 }
 
 fn apply_written(gateway: &Gateway, row: &CrashRow) {
@@ -147,24 +147,24 @@
     if is_expired(row, clock) {
         return;
     }
-    let work = Fingerprint(row.key.fingerprint);
+    let fingerprint = Fingerprint(row.key.fingerprint);
     // On a host that has started since, the time may be before the start of its clock. Only the
     // fact that the row hasn't expired matters then.
     let now = Instant::now();
     let at = clock.to_instant(row.at_ms).unwrap_or(now);
     match row.key.kind {
         CrashRowKind::End(upstream) => {
-            let word = Observation::Crash {
-                fingerprint: work,
+            let observation = Observation::Crash {
+                fingerprint,
                 upstream,
                 at,
                 in_trial: row.in_trial,
             };
-            apply(gateway, word, Source::Store, false);
+            apply(gateway, observation, Source::Store, false);
         }
         CrashRowKind::Trial(number) => {
             let number = number as usize;
-            gateway.crashes.lock().trial_taken(work, number, at);
+            gateway.crashes.lock().trial_taken(fingerprint, number, at);
         }
     }
 }
@@ -230,25 +230,25 @@
         // The first read of the table notifies the writer again.
         return Ok(false);
     };
-    let ends = to_record(gateway);
-    if !ends.is_empty() {
+    let records = crashes_to_write(gateway);
+    if !records.is_empty() {
         let host = gateway.host().name.clone();
         let row = |record: &CrashRecord| CrashRow {
-            key: end_key(record),
+            key: crash_key(record),
             host: host.clone(),
             at_ms: clock.to_store_ms(record.at),
             in_trial: record.in_trial,
         };
-        let rows: Vec<CrashRow> = ends.iter().map(row).collect();
+        let rows: Vec<CrashRow> = records.iter().map(row).collect();
         client.store().write_crashes(&rows, ANSWER_TIMEOUT).await?;
-        set_recorded(&gateway.crashes, &ends, true);
+        set_recorded(&gateway.crashes, &records, true);
         return Ok(true);
     }
-    let answered = to_remove(gateway);
+    let answered = crashes_to_remove(gateway);
     if answered.is_empty() {
         return Ok(false);
     }
-    let keys: Vec<CrashKey> = answered.iter().flat_map(end_and_trial_keys).collect();
+    let keys: Vec<CrashKey> = answered.iter().flat_map(crash_and_trial_keys).collect();
     client.store().remove_crashes(&keys, ANSWER_TIMEOUT).await?;
     set_recorded(&gateway.crashes, &answered, false);
     Ok(true)
@@ -268,24 +268,24 @@
 }
 
 /// Crashes to write now. A host without a live peer writes from the first crash of a request.
-fn to_record(gateway: &Gateway) -> Vec<CrashRecord> {
+fn crashes_to_write(gateway: &Gateway) -> Vec<CrashRecord> {
     let (has_no_live_peer, takeover_before) = (has_no_live_peer(gateway), takeover_before(gateway));
     let crashes = gateway.crashes.lock();
-    let min_ends = match crashes.recorded().len() {
+    let min_crashes = match crashes.recorded().len() {
         rows if rows >= MAX_SUSPECT_ROWS => BLOCK_THRESHOLD,
         _ if has_no_live_peer => 1,
         _ => RECORD_THRESHOLD,
     };
-    crashes.unrecorded(min_ends, takeover_before, MAX_ROWS_PER_CALL)
+    crashes.unrecorded(min_crashes, takeover_before, MAX_ROWS_PER_CALL)
 }
 
 /// Crashes whose rows to remove now.
-fn to_remove(gateway: &Gateway) -> Vec<CrashRecord> {
+fn crashes_to_remove(gateway: &Gateway) -> Vec<CrashRecord> {
     let takeover_before = takeover_before(gateway);
     gateway
         .crashes
         .lock()
-        .obsolete_records(takeover_before, MAX_ENDS_PER_CALL)
+        .obsolete_records(takeover_before, MAX_CRASHES_PER_CALL)
 }
 
 /// Time before which this host handles rows that other hosts left; `None` if it handles only its
@@ -297,7 +297,7 @@
         .filter(|_| is_writer)
 }
 
-fn end_key(record: &CrashRecord) -> CrashKey {
+fn crash_key(record: &CrashRecord) -> CrashKey {
     CrashKey {
         fingerprint: record.fingerprint.0,
         kind: CrashRowKind::End(record.upstream),
@@ -305,14 +305,14 @@
 }
 
 /// Keys of a crash's row and of the rows of the request's trials.
-fn end_and_trial_keys(record: &CrashRecord) -> Vec<CrashKey> {
+fn crash_and_trial_keys(record: &CrashRecord) -> Vec<CrashKey> {
     let trials = (0..STORED_TRIALS).map(|number| trial_key(record.fingerprint, number));
-    std::iter::once(end_key(record)).chain(trials).collect()
+    std::iter::once(crash_key(record)).chain(trials).collect()
 }
 
-fn trial_key(work: Fingerprint, number: usize) -> CrashKey {
+fn trial_key(fingerprint: Fingerprint, number: usize) -> CrashKey {
     CrashKey {
-        fingerprint: work.0,
+        fingerprint: fingerprint.0,
         kind: CrashRowKind::Trial(number as u32),
     }
 }
@@ -320,17 +320,17 @@
 /// Takes a trial of a held back request for all hosts; returns whether this host may run it. The
 /// store decides between hosts. If it doesn't answer, or if the trial has no row, the process of
 /// rank 0 takes the trial.
-pub async fn take_trial(gateway: &Arc<Gateway>, work: Fingerprint, number: usize) -> bool {
+pub async fn take_trial(gateway: &Arc<Gateway>, fingerprint: Fingerprint, number: usize) -> bool {
     let Some(clock) = gateway.crashes.clock() else {
         return false;
     };
     let is_first = gateway.rank() == 0;
     let (is_ours, outcome) = match number < STORED_TRIALS {
-        true => match write_trial(gateway, clock, work, number).await {
+        true => match write_trial(gateway, clock, fingerprint, number).await {
             Ok(TrialWrite::Taken) => (true, "taken".to_owned()),
             Ok(TrialWrite::Refused) => {
                 // The row has the exact time, but may be read only later.
-                trial_taken(gateway, work, number);
+                trial_taken(gateway, fingerprint, number);
                 (false, "another host has taken it".to_owned())
             }
             // The row may be written now or later, and then counts as a trial.
@@ -341,30 +341,30 @@
         false => (false, "left to the first host".to_owned()),
     };
     emit(&Event::WorkTried {
-        work: work.to_string(),
+        work: fingerprint.to_string(),
         trial: number + 1,
         outcome,
     });
     if is_ours {
-        trial_taken(gateway, work, number);
+        trial_taken(gateway, fingerprint, number);
     }
     is_ours
 }
 
-fn trial_taken(gateway: &Gateway, work: Fingerprint, number: usize) {
+fn trial_taken(gateway: &Gateway, fingerprint: Fingerprint, number: usize) {
     let mut crashes = gateway.crashes.lock();
-    crashes.trial_taken(work, number, Instant::now());
+    crashes.trial_taken(fingerprint, number, Instant::now());
 }
 
 /// Writes a trial's row unless another host has done so.
 async fn write_trial(
     gateway: &Arc<Gateway>,
     clock: StoreClock,
-    work: Fingerprint,
+    fingerprint: Fingerprint,
     number: usize,
 ) -> Result<TrialWrite, StoreError> {
     let row = CrashRow {
-        key: trial_key(work, number),
+        key: trial_key(fingerprint, number),
         host: gateway.host().name.clone(),
         at_ms: clock.to_store_ms(Instant::now()),
         in_trial: false,
@@ -374,12 +374,12 @@
 }
 
 /// Returns a trial that reached no upstream.
-pub fn return_trial(gateway: &Arc<Gateway>, work: Fingerprint, number: usize) {
-    gateway.crashes.lock().trial_returned(work, number);
+pub fn return_trial(gateway: &Arc<Gateway>, fingerprint: Fingerprint, number: usize) {
+    gateway.crashes.lock().trial_returned(fingerprint, number);
     let gateway = gateway.clone();
     tokio::spawn(async move {
         let mut client = StoreClient::new(&gateway);
-        let key = [trial_key(work, number)];
+        let key = [trial_key(fingerprint, number)];
         if let Err(e) = client.store().remove_crashes(&key, ANSWER_TIMEOUT).await {
             log_write_failure(key.len(), &e);
         }
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -39,7 +39,7 @@
 struct WatchedRequest {
     gateway: Arc<Gateway>,
     request: String,
-    work: Fingerprint,
+    fingerprint: Fingerprint,
     to: SentTo,
     upstream: String,
     in_trial: bool,
@@ -94,7 +94,7 @@
     ) else {
         return;
     };
-    account.fingerprint = Some(request.work);
+    account.fingerprint = Some(request.fingerprint);
     tokio::spawn(async move {
         request.watch().await;
         drop(permit);
@@ -107,7 +107,7 @@
         Some(Self {
             gateway: call.gateway.clone(),
             request: account.id.clone(),
-            work: call.fingerprint(),
+            fingerprint: call.fingerprint(),
             to: account.last_sent_to?,
             upstream: account.upstream.clone()?,
             in_trial: account.trial.is_some(),
@@ -119,34 +119,34 @@
         while self.at.elapsed() < WATCH_TIME {
             tokio::time::sleep(CHECK_EVERY).await;
             // The request was answered and thereby cleared.
-            if self.in_trial && self.gateway.crashes.lock().crash_count(self.work) == 0 {
+            if self.in_trial && self.gateway.crashes.lock().crash_count(self.fingerprint) == 0 {
                 return;
             }
             match self.fate() {
                 UpstreamFate::Unknown => {}
                 UpstreamFate::Alive => return,
-                UpstreamFate::Ended => return self.report_end(),
+                UpstreamFate::Ended => return self.report_crash(),
             }
         }
     }
 
     /// Counts the crash, unless it is already known from a broken connection.
-    fn report_end(&self) {
-        let word = Observation::Crash {
-            fingerprint: self.work,
+    fn report_crash(&self) {
+        let observation = Observation::Crash {
+            fingerprint: self.fingerprint,
             upstream: self.to.tag,
             at: self.at,
             in_trial: self.in_trial,
         };
-        if super::apply(&self.gateway, word, Source::Local, true) == Change::Unchanged {
+        if super::apply(&self.gateway, observation, Source::Local, true) == Change::Unchanged {
             return;
         }
         emit(&Event::UpstreamWentDark {
             request: &self.request,
-            work: self.work.to_string(),
+            work: self.fingerprint.to_string(),
             upstream: &self.upstream,
             in_trial: self.in_trial,
-            ends: self.gateway.crashes.lock().crash_count(self.work),
+            ends: self.gateway.crashes.lock().crash_count(self.fingerprint),
         });
     }
 
--- a/crates/gateway/src/duty/usage/exchange.rs
+++ b/crates/gateway/src/duty/usage/exchange.rs
@@ -5,7 +5,7 @@
 //! requests are numbered.
 
 use super::ledger::Position;
-use super::message::{Ask, Message, Told};
+use super::message::{Message, Query, QueryAnswer};
 use super::{Collector, Usage, is_collector, is_enabled, time_of_day_ms};
 use crate::StartError;
 use crate::state::Gateway;
@@ -129,11 +129,13 @@
         let now = Instant::now();
         match wire::decode::<Message>(&buf[..len]) {
             // Other senders must not learn the tenants' names or report windows as done.
-            Some(Message::Ask(ask)) if gateway.peers().knows(from.ip()) => {
-                let told = answer(&gateway.usage, from.ip(), ask, now);
-                send(&exchange.socket, from, &Message::Told(told));
+            Some(Message::Ask(query)) if gateway.peers().knows(from.ip()) => {
+                let answer = answer_query(&gateway.usage, from.ip(), query, now);
+                send(&exchange.socket, from, &Message::Told(answer));
+            }
+            Some(Message::Told(answer)) => {
+                handle_answer(&gateway, &exchange, from.ip(), &answer, now);
             }
-            Some(Message::Told(told)) => handle_told(&gateway, &exchange, from.ip(), &told, now),
             // Anyone can send invalid datagrams; peers of another version are logged by the
             // exchange of loads.
             Some(Message::Ask(_)) | None => {}
@@ -147,12 +149,12 @@
 }
 
 /// Answers a collector's query.
-fn answer(usage: &Usage, ip: IpAddr, ask: Ask, now: Instant) -> Told {
-    usage.set_done_window(ask.done);
-    let told = {
+fn answer_query(usage: &Usage, ip: IpAddr, query: Query, now: Instant) -> QueryAnswer {
+    usage.set_done_window(query.done);
+    let answer = {
         let mut request_log = usage.request_log();
         request_log.expire(now);
-        request_log.read_from(ask.start, ask.from, ask.number, now)
+        request_log.read_from(query.start, query.from, query.number, now)
     };
     let mut polls = usage.polls();
     polls.last_at = now;
@@ -160,17 +162,23 @@
     polls.collectors.push(Collector {
         ip,
         polled_at: now,
-        next_needed: told.from,
-        start: told.start,
+        next_needed: answer.from,
+        start: answer.start,
     });
     if polls.collectors.len() > MAX_COLLECTORS {
         polls.collectors.remove(0);
     }
-    told
+    answer
 }
 
 /// Handles an answer, or the last message of a process that exits.
-fn handle_told(gateway: &Gateway, exchange: &Exchange, ip: IpAddr, told: &Told, now: Instant) {
+fn handle_answer(
+    gateway: &Gateway,
+    exchange: &Exchange,
+    ip: IpAddr,
+    answer: &QueryAnswer,
+    now: Instant,
+) {
     let is_known = gateway.peers().knows(ip);
     let mut queries = exchange.queries();
     // An answer that waited while this process was paused is queried again, as the time at which
@@ -179,17 +187,20 @@
         let took = now.saturating_duration_since(*at);
         took < ANSWER_TIMEOUT && !gateway.may_have_waited(now)
     };
-    let asked_at = queries.close_query(ip, told.number).filter(is_timely);
-    let is_last = told.number == 0 && is_known;
+    let asked_at = queries.close_query(ip, answer.number).filter(is_timely);
+    let is_last = answer.number == 0 && is_known;
     let at = match asked_at {
         // The answer was made at some time between the query and now.
         Some(asked_at) => asked_at + now.saturating_duration_since(asked_at) / 2,
         None if is_last => now,
         None => return,
     };
-    let base_ms = gateway.usage.clock().estimate_base(told.time_of_day_ms, at);
+    let base_ms = gateway
+        .usage
+        .clock()
+        .estimate_base(answer.time_of_day_ms, at);
     queries.add_estimate(ip, base_ms, now);
-    if gateway.usage.ledger().add(ip, told, at) && !is_last {
+    if gateway.usage.ledger().add(ip, answer, at) && !is_last {
         poll_peer(gateway, exchange, &mut queries, ip, now);
     }
 }
@@ -208,14 +219,14 @@
     now: Instant,
 ) {
     let Position { start, next } = gateway.usage.ledger().position(ip);
-    let ask = Ask {
+    let query = Query {
         number: queries.open_query(ip, now),
         start,
         from: next,
         done: gateway.usage.done_window(),
     };
     let to = SocketAddr::new(ip, gateway.host().usage_port);
-    send(&exchange.socket, to, &Message::Ask(ask));
+    send(&exchange.socket, to, &Message::Ask(query));
 }
 
 /// Polls all processes while this one is a collector, until it ends.
@@ -237,9 +248,9 @@
         let mut queries = exchange.queries();
         add_own_requests(&gateway, &mut queries, now);
         for ip in peers {
-            let last_heard_at = gateway.usage.ledger().last_heard_at(ip);
+            let last_received_at = gateway.usage.ledger().last_received_at(ip);
             let is_silent =
-                last_heard_at.is_none_or(|at| now.saturating_duration_since(at) > SILENT_AFTER);
+                last_received_at.is_none_or(|at| now.saturating_duration_since(at) > SILENT_AFTER);
             if !is_silent || may_poll_silent {
                 poll_peer(&gateway, &exchange, &mut queries, ip, now);
             }
@@ -255,12 +266,12 @@
     let ip = gateway.host().ip;
     loop {
         let Position { start, next } = usage.ledger().position(ip);
-        let told = {
+        let answer = {
             let mut request_log = usage.request_log();
             request_log.expire(now);
             request_log.read_from(start, next, 0, now)
         };
-        if !usage.ledger().add(ip, &told, now) {
+        if !usage.ledger().add(ip, &answer, now) {
             break;
         }
     }
@@ -288,10 +299,10 @@
     for _ in 0..FINAL_SENDS {
         for collector in &collectors {
             let request_log = gateway.usage.request_log();
-            let told =
+            let answer =
                 request_log.read_from(collector.start, collector.next_needed, 0, Instant::now());
             let to = SocketAddr::new(collector.ip, host.usage_port);
-            send(&socket, to, &Message::Told(told));
+            send(&socket, to, &Message::Told(answer));
         }
         tokio::time::sleep(FINAL_SEND_PAUSE).await;
     }
--- a/crates/gateway/src/duty/usage/ledger.rs
+++ b/crates/gateway/src/duty/usage/ledger.rs
@@ -1,6 +1,6 @@
 //! A collector's record of the requests that started to run on all processes.
 
-use super::message::Told;
+use super::message::QueryAnswer;
 use super::request_log::{Entry, RETENTION};
 use platform::usage::TenantCount;
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
     next: u64,
     /// Time of its last answer after which nothing was left to query.
     complete_at: Option<Instant>,
-    last_heard_at: Instant,
+    last_received_at: Instant,
     /// In the order in which they were received.
     entries: VecDeque<Entry>,
     /// Requests that the process had dropped before they were queried.
@@ -62,7 +62,7 @@
     /// Position up to which a process's requests are known.
     pub fn position(&self, ip: IpAddr) -> Position {
         let logs = self.logs.iter().filter(|log| log.ip == ip);
-        let newest = logs.max_by_key(|log| log.last_heard_at);
+        let newest = logs.max_by_key(|log| log.last_received_at);
         newest.map_or_else(Position::default, |log| Position {
             start: log.start,
             next: log.next,
@@ -71,18 +71,18 @@
 
     /// Adds the requests that a process sent, where `at` is the time of its message by this
     /// process's clock. Returns whether more requests are available there.
-    pub fn add(&mut self, ip: IpAddr, told: &Told, at: Instant) -> bool {
-        let Some(log_index) = self.log_index(ip, told.start, at) else {
+    pub fn add(&mut self, ip: IpAddr, answer: &QueryAnswer, at: Instant) -> bool {
+        let Some(log_index) = self.log_index(ip, answer.start, at) else {
             return false;
         };
         let known = self.logs[log_index].next;
-        if told.from > known {
-            self.logs[log_index].missed += told.from - known;
-            self.logs[log_index].next = told.from;
+        if answer.from > known {
+            self.logs[log_index].missed += answer.from - known;
+            self.logs[log_index].next = answer.from;
         }
-        let known_count = self.logs[log_index].next.saturating_sub(told.from) as usize;
-        for begun in told.begun.iter().skip(known_count) {
-            let Some(name) = told.tenants.get(usize::from(begun.tenant)) else {
+        let known_count = self.logs[log_index].next.saturating_sub(answer.from) as usize;
+        for begun in answer.begun.iter().skip(known_count) {
+            let Some(name) = answer.tenants.get(usize::from(begun.tenant)) else {
                 continue;
             };
             let tenant = self.intern(name);
@@ -91,9 +91,9 @@
             self.logs[log_index].entries.push_back(Entry { at, tenant });
         }
         let log = &mut self.logs[log_index];
-        log.next = log.next.max(told.from + told.begun.len() as u64);
-        log.last_heard_at = log.last_heard_at.max(at);
-        let has_more = log.next < told.next;
+        log.next = log.next.max(answer.from + answer.begun.len() as u64);
+        log.last_received_at = log.last_received_at.max(at);
+        let has_more = log.next < answer.next;
         if !has_more {
             log.complete_at = log.complete_at.max(Some(at));
         }
@@ -113,7 +113,7 @@
                     start,
                     next: 0,
                     complete_at: None,
-                    last_heard_at: at,
+                    last_received_at: at,
                     entries: VecDeque::new(),
                     missed: 0,
                 };
@@ -167,7 +167,7 @@
         let heard = self
             .logs
             .iter()
-            .filter(|log| log.last_heard_at >= from)
+            .filter(|log| log.last_received_at >= from)
             .count();
         (complete, heard.saturating_sub(complete))
     }
@@ -179,9 +179,9 @@
     }
 
     /// Time at which a process was last heard from.
-    pub fn last_heard_at(&self, ip: IpAddr) -> Option<Instant> {
+    pub fn last_received_at(&self, ip: IpAddr) -> Option<Instant> {
         let logs = self.logs.iter().filter(|log| log.ip == ip);
-        logs.map(|log| log.last_heard_at).max()
+        logs.map(|log| log.last_received_at).max()
     }
 
     /// Drops entries that are too old to be reported. Returns the number of requests that
@@ -195,7 +195,7 @@
             }
             missed += std::mem::take(&mut log.missed);
         }
-        self.logs.retain(|log| is_kept(log.last_heard_at));
+        self.logs.retain(|log| is_kept(log.last_received_at));
         self.names.retain(|name| Arc::strong_count(name) > 1);
         missed
     }
--- a/crates/gateway/src/duty/usage/message.rs
+++ b/crates/gateway/src/duty/usage/message.rs
@@ -6,14 +6,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A collector requests the requests that started to run.
-    Ask(Ask),
+    Ask(Query),
     /// The answer to [`Message::Ask`].
-    Told(Told),
+    Told(QueryAnswer),
 }
 
 /// A collector's query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Query {
     /// Identifier of the query, repeated in the answer.
     pub number: u32,
     /// Identifier of the queried process's start, 0 if unknown.
@@ -26,7 +26,7 @@
 
 /// Requests that started to run during one start of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct QueryAnswer {
     /// Identifier of the query, 0 if sent without one, as by a process that exits.
     pub number: u32,
     /// Random identifier of the process's start.
@@ -41,14 +41,14 @@
     /// Names of the tenants that `begun` refers to.
     pub tenants: Vec<String>,
     /// The requests, ordered by number.
-    pub begun: Vec<BegunAt>,
+    pub begun: Vec<StartedRequest>,
 }
 
 /// A request that started to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BegunAt {
+pub struct StartedRequest {
     /// Time since it started, in milliseconds.
     pub ago_ms: u32,
-    /// Index of its tenant in [`Told::tenants`].
+    /// Index of its tenant in [`QueryAnswer::tenants`].
     pub tenant: u16,
 }
--- a/crates/gateway/src/duty/usage/request_log.rs
+++ b/crates/gateway/src/duty/usage/request_log.rs
@@ -3,7 +3,7 @@
 //! Requests are numbered, so that a collector can query those after the last one that it has.
 //! Lost and duplicate answers therefore have no effect.
 
-use super::message::{BegunAt, Told};
+use super::message::{QueryAnswer, StartedRequest};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -87,12 +87,12 @@
 
     /// An answer with the requests from number `from` of this process's start `start`, or from
     /// the oldest entry if `start` is another one. `number` identifies the query.
-    pub fn read_from(&self, start: u32, from: u64, number: u32, now: Instant) -> Told {
+    pub fn read_from(&self, start: u32, from: u64, number: u32, now: Instant) -> QueryAnswer {
         let from = match start == self.start {
             true => from.clamp(self.first_number, self.next_number()),
             false => self.first_number,
         };
-        let mut told = Told {
+        let mut answer = QueryAnswer {
             number,
             start: self.start,
             from,
@@ -109,24 +109,27 @@
             .skip(skipped)
             .take(MAX_REQUESTS_PER_ANSWER)
         {
-            let known = told.tenants.iter().position(|name| **name == *entry.tenant);
+            let known = answer
+                .tenants
+                .iter()
+                .position(|name| **name == *entry.tenant);
             if known.is_none()
                 && name_bytes + entry.tenant.len() > MAX_NAME_BYTES
-                && !told.begun.is_empty()
+                && !answer.begun.is_empty()
             {
                 break;
             }
             let tenant = known.unwrap_or_else(|| {
                 name_bytes += entry.tenant.len();
-                told.tenants.push(entry.tenant.to_string());
-                told.tenants.len() - 1
+                answer.tenants.push(entry.tenant.to_string());
+                answer.tenants.len() - 1
             });
             let ago = now.saturating_duration_since(entry.at);
-            told.begun.push(BegunAt {
+            answer.begun.push(StartedRequest {
                 ago_ms: ago.as_millis() as u32,
                 tenant: tenant as u16,
             });
         }
-        told
+        answer
     }
 }
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -172,8 +172,8 @@
 /// Loads response durations from all live peers, from the stop signal until this process accepts no
 /// more requests. Each peer has seen a part of the slow requests.
 pub async fn fetch_all_durations(gateway: Arc<Gateway>) {
-    let ending = gateway.wait_for_stop().await;
-    while Instant::now() < ending.close_at {
+    let schedule = gateway.wait_for_stop().await;
+    while Instant::now() < schedule.close_at {
         // Concurrently, so that a peer that doesn't answer doesn't delay the others.
         let requests = live_peers(&gateway)
             .into_iter()
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -190,7 +190,7 @@
 /// The status of this process alone.
 fn own_status(gateway: &Gateway, placements_within: Duration) -> PeerStatus {
     let now = Instant::now();
-    let settled = gateway.shareable_registry();
+    let shareable = gateway.shareable_registry();
     let mut fleet = gateway.fleet();
     let mut loads: Vec<Load> = fleet.iter().filter_map(|(_, u)| u.load()).collect();
     loads.sort_unstable_by_key(|load| load.upstream);
@@ -202,10 +202,10 @@
         processes: 1,
         config: gateway.config_version(),
         members: gateway.members_version(),
-        registry: settled.map_or(0, |r| r.version),
-        registry_ms: settled.map_or(u32::MAX, |r| r.read_at.elapsed().as_millis() as u32),
-        registry_at_ms: settled.map_or(0, |r| r.store_ms),
-        view: settled.map_or(0, |r| r.view),
+        registry: shareable.map_or(0, |r| r.version),
+        registry_ms: shareable.map_or(u32::MAX, |r| r.read_at.elapsed().as_millis() as u32),
+        registry_at_ms: shareable.map_or(0, |r| r.store_ms),
+        view: shareable.map_or(0, |r| r.view),
         loads,
         changing: fleet.changing(now),
         placements: fleet.recent_placements(placements_within, now),
--- a/crates/gateway/src/peers/startup_load.rs
+++ b/crates/gateway/src/peers/startup_load.rs
@@ -119,7 +119,7 @@
         members,
         config: gateway.routes()?.config.clone(),
         registry: gateway.changes_since(0)?,
-        crashes: crashes::recorded_ends(gateway, Instant::now()),
+        crashes: crashes::recorded_crashes(gateway, Instant::now()),
     })
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -43,8 +43,8 @@
             let is_resumable = call.target().route.kind == RouteKind::ResumableStream
                 && started.status.is_success();
             let stream_relay = StreamRelay {
-                _streamed: call.track_stream(),
-                cutter: is_resumable.then(|| EventSplitter::after(call.last_event)),
+                _stream_guard: call.track_stream(),
+                splitter: is_resumable.then(|| EventSplitter::after(call.last_event)),
                 call,
                 account,
                 tx,
@@ -73,12 +73,12 @@
     unsent: Option<Bytes>,
     /// Total time spent waiting for the client.
     client_wait: Duration,
-    _streamed: StreamGuard,
+    _stream_guard: StreamGuard,
     /// Whether the framing marks the answer's end. An answer that ends with its connection looks
     /// complete even if its upstream has crashed.
     is_framed: bool,
     /// Present for streams that may be resumed.
-    cutter: Option<EventSplitter>,
+    splitter: Option<EventSplitter>,
 }
 
 fn is_framed(headers: &HeaderMap) -> bool {
@@ -137,7 +137,7 @@
     /// Copies the bytes of one upstream until they end or the time is up.
     async fn copy(&mut self, first: Option<Bytes>, mut rest: BodyRest) -> StreamEnd {
         let time_over = self.call.wait_for_timeout(AnswerProgress::Started);
-        self.unsent = match first.map(|data| self.cut(data)) {
+        self.unsent = match first.map(|data| self.convert(data)) {
             None => None,
             Some(Ok(data)) => Some(data),
             Some(Err(end)) => return end,
@@ -178,7 +178,7 @@
             match frame {
                 None => break,
                 Some(Err(e)) => return StreamEnd::Broken(e.to_string()),
-                Some(Ok(frame)) => match frame.into_data().map(|data| self.cut(data)) {
+                Some(Ok(frame)) => match frame.into_data().map(|data| self.convert(data)) {
                     Ok(Ok(data)) => self.unsent = Some(data),
                     Ok(Err(end)) => return end,
                     // Trailers are not relayed.
@@ -187,7 +187,7 @@
             }
         }
         if self
-            .cutter
+            .splitter
             .as_ref()
             .is_some_and(EventSplitter::is_mid_event)
         {
@@ -198,9 +198,9 @@
 
     /// Converts data from the upstream to data for the client: only whole events of a stream that
     /// may be resumed, anything else unchanged.
-    fn cut(&mut self, data: Bytes) -> Result<Bytes, StreamEnd> {
-        match &mut self.cutter {
-            Some(cutter) => cutter
+    fn convert(&mut self, data: Bytes) -> Result<Bytes, StreamEnd> {
+        match &mut self.splitter {
+            Some(splitter) => splitter
                 .push(&data)
                 .map_err(|e| StreamEnd::Broken(format!("malformed stream: {e:?}"))),
             None => Ok(data),
@@ -228,14 +228,14 @@
         let elapsed = self.account.received_at.elapsed();
         log_failed_attempt(&self.account, Outcome::BrokenOff.name(), &why, elapsed);
         connection_broke(&self.call, &mut self.account);
-        let cutter = self.cutter.as_ref()?;
-        self.call.last_event = cutter.last_id().or(self.call.last_event);
-        self.cutter = Some(EventSplitter::after(self.call.last_event));
-        let tried = tokio::select! {
-            tried = self.call.resume_stream(&mut self.account) => tried,
+        let splitter = self.splitter.as_ref()?;
+        self.call.last_event = splitter.last_id().or(self.call.last_event);
+        self.splitter = Some(EventSplitter::after(self.call.last_event));
+        let result = tokio::select! {
+            result = self.call.resume_stream(&mut self.account) => result,
             () = self.tx.closed() => return None,
         };
-        let AttemptResult::Started(started) = tried? else {
+        let AttemptResult::Started(started) = result? else {
             return None;
         };
         let started = *started;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -46,7 +46,7 @@
     /// Time at which the request arrived.
     pub since: Instant,
     /// Parsed headers.
-    pub incoming: RequestHeaders,
+    pub parsed_headers: RequestHeaders,
     /// HTTP method.
     pub method: Method,
     /// Path and query, unchanged.
@@ -74,12 +74,12 @@
     let (mut head, body) = req.into_parts();
     header::mark_key_sensitive(&mut head.headers);
     let authority = head.uri.authority().map(|a| a.as_str());
-    let incoming = match RequestHeaders::parse(&head.headers, authority) {
-        Ok(incoming) => incoming,
+    let parsed_headers = match RequestHeaders::parse(&head.headers, authority) {
+        Ok(parsed_headers) => parsed_headers,
         Err(e) => return refusal::refuse_malformed(&gateway, since, e),
     };
-    let mut account = Account::open(&gateway, &incoming.id, since);
-    match receive(gateway, incoming, head, body, &mut account).await {
+    let mut account = Account::open(&gateway, &parsed_headers.id, since);
+    match receive(gateway, parsed_headers, head, body, &mut account).await {
         Ok(mut call) => match call.run(&mut account).await {
             Ok(started) => relay::relay_answer(call, account, started),
             Err(refusal) => {
@@ -94,7 +94,7 @@
 /// Routes a request and reads its body.
 async fn receive(
     gateway: Arc<Gateway>,
-    incoming: RequestHeaders,
+    parsed_headers: RequestHeaders,
     head: Parts,
     body: IncomingBody,
     account: &mut Account,
@@ -102,13 +102,13 @@
     let table = gateway.routes().ok_or(Reason::NoConfig)?;
     account.config_version = table.version;
     let target = table
-        .find(&incoming.host, head.uri.path())
+        .find(&parsed_headers.host, head.uri.path())
         .ok_or(Reason::NoRoute)?;
     account.route = Some(target.route.name.clone());
-    let caller = caller::authenticate(&gateway, &table, target, &incoming, account)?;
-    let acquired = caller::acquire_quota(&gateway, &table, caller, &incoming, account);
+    let caller = caller::authenticate(&gateway, &table, target, &parsed_headers, account)?;
+    let acquired = caller::acquire_quota(&gateway, &table, caller, &parsed_headers, account);
     account.grant = acquired.await?;
-    let time_left = target.time_left(incoming.deadline, account.received_at.elapsed());
+    let time_left = target.time_left(parsed_headers.deadline, account.received_at.elapsed());
     let service = target.pick_service().ok_or(Reason::NoUpstream)?;
     let is_engine = {
         let fleet = gateway.fleet();
@@ -117,8 +117,8 @@
         info.engine.is_some()
     };
     if is_engine {
-        account.max_output_tokens = Some(incoming.max_output_tokens);
-        account.expected_tokens = Some(incoming.expected_output_tokens());
+        account.max_output_tokens = Some(parsed_headers.max_output_tokens);
+        account.expected_tokens = Some(parsed_headers.expected_output_tokens());
     }
     gateway.earn_retry(service);
     let body = match body.is_end_stream() {
@@ -135,7 +135,7 @@
     };
     Ok(Call {
         since: account.received_at,
-        last_event: incoming.last_event_id,
+        last_event: parsed_headers.last_event_id,
         method: head.method,
         path: path_and_query(&head.uri),
         headers: head.headers,
@@ -143,7 +143,7 @@
         failure: None,
         fingerprint: OnceLock::new(),
         gateway,
-        incoming,
+        parsed_headers,
         body,
         is_engine,
         table,
@@ -179,7 +179,7 @@
     pub fn target(&self) -> &ResolvedRoute {
         // NB: the table doesn't change, so the lookup succeeds again.
         self.table
-            .find(&self.incoming.host, self.path.path())
+            .find(&self.parsed_headers.host, self.path.path())
             .expect("the route was found when the request came")
     }
 
@@ -189,14 +189,14 @@
         *self.fingerprint.get_or_init(|| fingerprint(self))
     }
 
-    fn need(&self, account: &Account) -> Requirements<'_> {
+    fn requirements(&self, account: &Account) -> Requirements<'_> {
         let route = &self.target().route;
         let is_retry = account.attempts > 0;
         Requirements {
             service: self.service,
-            parts: &self.incoming.prompt_parts,
-            prompt_tokens: self.incoming.prompt_tokens,
-            max_output_tokens: self.incoming.max_output_tokens,
+            parts: &self.parsed_headers.prompt_parts,
+            prompt_tokens: self.parsed_headers.prompt_tokens,
+            max_output_tokens: self.parsed_headers.max_output_tokens,
             latency_target: route.target_latency,
             is_resumed: is_retry && self.last_event.is_some(),
             is_isolated: false,
@@ -231,18 +231,18 @@
         let mut is_retry_spent = false;
         loop {
             let admission = match crashes::admit(self, account).await {
-                Admission::Rejected(why) => return Err(why.into()),
+                Admission::Blocked(why) => return Err(why.into()),
                 admission => admission,
             };
             let is_retry = account.attempts > 0 && !std::mem::take(&mut is_retry_spent);
             if is_retry && !self.acquire_retry(account) {
                 return Err(last);
             }
-            let need = Requirements {
+            let requirements = Requirements {
                 is_isolated: admission == Admission::Quarantined,
-                ..self.need(account)
+                ..self.requirements(account)
             };
-            let plan = match choose(&self.gateway, &need) {
+            let plan = match choose(&self.gateway, &requirements) {
                 Choice::Send(plan) => plan,
                 Choice::NoUpstream => return Err(last),
                 Choice::Busy(inputs, retry_after) => {
@@ -253,12 +253,12 @@
             if !self.finishes_in_time(account, plan.inputs.estimate_ms) {
                 return Err(Reason::Stopping.into());
             }
-            let tried = self
+            let result = self
                 .attempt_with_timeout(account, &plan, &mut is_retry_spent)
                 .await;
             self.tried
                 .push(account.last_sent_to.map_or(plan.key, |sent| sent.key));
-            match tried {
+            match result {
                 AttemptResult::Started(started) => {
                     let may_repeat = self.target().route.kind.is_repeatable();
                     if !started.status.is_server_error() || !may_repeat {
@@ -278,7 +278,7 @@
                     }
                 }
                 AttemptResult::NotRun(NotRun::NoTime) => return Err(Reason::Stopping.into()),
-                AttemptResult::NotRun(NotRun::Held(why)) => return Err(why.into()),
+                AttemptResult::NotRun(NotRun::Blocked(why)) => return Err(why.into()),
                 AttemptResult::NotRun(NotRun::Rejected) => last = Reason::Rejected.into(),
                 AttemptResult::Unknown(_) => {
                     last = Reason::UpstreamLost.into();
@@ -310,14 +310,14 @@
             .mul_f64(FIRST_BYTE_TIMEOUT_FACTOR)
             .max(MIN_FIRST_BYTE_TIMEOUT);
         {
-            let need = self.need(account);
-            let tried = attempt(self, account, plan, &need);
-            tokio::pin!(tried);
-            match tokio::time::timeout(first_byte_timeout, tried.as_mut()).await {
-                Ok(tried) => return tried,
+            let requirements = self.requirements(account);
+            let result = attempt(self, account, plan, &requirements);
+            tokio::pin!(result);
+            match tokio::time::timeout(first_byte_timeout, result.as_mut()).await {
+                Ok(result) => return result,
                 // Another attempt must still be answered before this process exits.
                 Err(_) if !may_switch() || !self.can_finish() || !self.spend_retry() => {
-                    return tried.await;
+                    return result.await;
                 }
                 // Dropping the attempt cancels it at the upstream.
                 Err(_) => {}
@@ -348,14 +348,14 @@
         // The upstream that broke off has probably crashed.
         self.tried.extend(account.last_sent_to.map(|sent| sent.key));
         let admission = crashes::admit(self, account).await;
-        if matches!(admission, Admission::Rejected(_)) || !self.acquire_retry(account) {
+        if matches!(admission, Admission::Blocked(_)) || !self.acquire_retry(account) {
             return None;
         }
-        let need = Requirements {
+        let requirements = Requirements {
             is_isolated: admission == Admission::Quarantined,
-            ..self.need(account)
+            ..self.requirements(account)
         };
-        let Choice::Send(plan) = choose(&self.gateway, &need) else {
+        let Choice::Send(plan) = choose(&self.gateway, &requirements) else {
             return None;
         };
         // The client can resume at another host at once, instead of being cut off again.
@@ -365,7 +365,7 @@
         let timeout = self.wait_for_timeout(AnswerProgress::Pending);
         tokio::select! {
             biased;
-            tried = attempt(self, account, &plan, &need) => Some(tried),
+            result = attempt(self, account, &plan, &requirements) => Some(result),
             _ = timeout => None,
         }
     }
--- a/crates/gateway/src/serve/caller.rs
+++ b/crates/gateway/src/serve/caller.rs
@@ -22,17 +22,17 @@
     gateway: &Gateway,
     table: &RouteTable,
     target: &ResolvedRoute,
-    incoming: &RequestHeaders,
+    parsed_headers: &RequestHeaders,
     account: &mut Account,
 ) -> Result<Caller, Refusal> {
-    match table.admit(target, incoming.key) {
+    match table.admit(target, parsed_headers.key) {
         Ok(caller) => {
             account.tenant = table.tenant(caller).map(|t| t.name.clone());
             Ok(caller)
         }
         Err(Denied::UnknownKey) if gateway.is_config_behind() => Err(Reason::ConfigBehind.into()),
         Err(denied) => {
-            record_removed_key(table, incoming, account);
+            record_removed_key(table, parsed_headers, account);
             Err(Reason::NoTenant(denied).into())
         }
     }
@@ -43,7 +43,7 @@
     gateway: &Arc<Gateway>,
     table: &RouteTable,
     caller: Caller,
-    incoming: &RequestHeaders,
+    parsed_headers: &RequestHeaders,
     account: &Account,
 ) -> Result<Option<Grant>, Refusal> {
     let Some(tenant) = table.tenant(caller) else {
@@ -52,7 +52,7 @@
     let Some(quota) = tenant.quota else {
         return Ok(None);
     };
-    let cost = quota.unit.cost(incoming.tokens);
+    let cost = quota.unit.cost(parsed_headers.tokens);
     match quota::acquire(gateway, tenant.id, quota, cost).await {
         Ok(grant) => Ok(Some(grant)),
         Err(quota::AcquireError::Unavailable) => Err(Reason::QuotaUnknown.into()),
@@ -76,10 +76,10 @@
 }
 
 /// Records the former tenant of a removed key and the version that removed it, if known.
-fn record_removed_key(table: &RouteTable, incoming: &RequestHeaders, account: &mut Account) {
+fn record_removed_key(table: &RouteTable, parsed_headers: &RequestHeaders, account: &mut Account) {
     let removed = table
         .tenants()
-        .zip(incoming.key)
+        .zip(parsed_headers.key)
         .and_then(|(tenants, key)| tenants.removed(key));
     if let Some(removed) = removed {
         account.tenant = Some(removed.tenant.clone());
@@ -119,7 +119,7 @@
         };
         if let Some(newest) = self.gateway.routes() {
             account.config_version = newest.version;
-            record_removed_key(&newest, &self.incoming, account);
+            record_removed_key(&newest, &self.parsed_headers, account);
         }
         Err(reason)
     }
@@ -132,11 +132,11 @@
         let Some(newest) = self.gateway.routes() else {
             return Ok(());
         };
-        let Some(target) = newest.find(&self.incoming.host, self.path.path()) else {
+        let Some(target) = newest.find(&self.parsed_headers.host, self.path.path()) else {
             return Ok(());
         };
         let caller = newest
-            .admit(target, self.incoming.key)
+            .admit(target, self.parsed_headers.key)
             .map_err(Reason::NoTenant)?;
         // The tenant sent to upstreams is taken from the table that the request arrived under.
         let is_same = match (self.caller, caller) {
--- a/crates/gateway/src/serve/time.rs
+++ b/crates/gateway/src/serve/time.rs
@@ -60,7 +60,8 @@
     /// Time left by the client's deadline and the route's timeout.
     fn own_time_left(&self) -> Duration {
         let elapsed = self.since.elapsed();
-        self.target().time_left(self.incoming.deadline, elapsed)
+        self.target()
+            .time_left(self.parsed_headers.deadline, elapsed)
     }
 
     /// Time left for an upstream: the request's own, limited by the process's shutdown.
@@ -120,8 +121,8 @@
     fn length(&self) -> Length {
         match self.is_engine {
             true => Length::Tokens {
-                expected: self.incoming.expected_output_tokens(),
-                max: self.incoming.max_output_tokens,
+                expected: self.parsed_headers.expected_output_tokens(),
+                max: self.parsed_headers.max_output_tokens,
             },
             false => Length::Plain {
                 route: xxhash_rust::xxh3::xxh3_64(self.target().route.name.as_bytes()),
@@ -133,7 +134,7 @@
     /// estimates. Resumed streams and failures are skipped, as they are shorter. The time spent
     /// waiting for the client is excluded.
     pub fn record_duration(&self, account: &Account, waited_for_client: Duration) {
-        let is_rest = self.incoming.last_event_id.is_some();
+        let is_rest = self.parsed_headers.last_event_id.is_some();
         if is_rest || !(200..300).contains(&account.status) {
             return;
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -167,7 +167,7 @@
         let peers = self.peers();
         let newest = peers
             .live(Instant::now())
-            .map(|(_, beat)| beat.config)
+            .map(|(_, status)| status.config)
             .max();
         newest.is_some_and(|newest| newest > known)
     }
--- a/crates/gateway/tests/splits.rs
+++ b/crates/gateway/tests/splits.rs
@@ -137,7 +137,7 @@
 /// Both generators reject all requests, on a route that allows one attempt.
 #[tokio::test]
 async fn no_more_generators_are_tried_than_the_route_allows_attempts() {
-    let (bed, _readers, generators) = start_split().await;
+    let (bed, _prefill_engines, generators) = start_split().await;
     for generator in &generators {
         generator.set_default_action(Action::Reject(503));
     }
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -162,7 +162,7 @@
 
 fn uncached_tokens(gateway: &Gateway, parts: &[PromptPart]) -> Option<u32> {
     let service = gateway.fleet().intern_service("s");
-    let need = Requirements {
+    let requirements = Requirements {
         service,
         parts,
         prompt_tokens: parts.iter().map(|p| p.tokens).sum(),
@@ -172,7 +172,7 @@
         is_isolated: false,
         tried: &[],
     };
-    match choose(gateway, &need) {
+    match choose(gateway, &requirements) {
         Choice::Send(plan) => Some(plan.inputs.uncached),
         Choice::Busy(..) | Choice::NoUpstream => None,
     }
--- a/crates/gateway/tests/usage_decisions.rs
+++ b/crates/gateway/tests/usage_decisions.rs
@@ -400,9 +400,10 @@
     for round in 0..rounds {
         let now = base + ROUND_EVERY * round as u32;
         let true_ms = 1_000_000 + now.duration_since(base).as_millis() as i64;
-        let beliefs = (0..hosts).map(|host| clock.estimate_base(true_ms + jump(host, round), now));
-        let beliefs = beliefs.collect();
-        clock.add_round(beliefs, now);
+        let estimates =
+            (0..hosts).map(|host| clock.estimate_base(true_ms + jump(host, round), now));
+        let estimates = estimates.collect();
+        clock.add_round(estimates, now);
         if let Some(ms) = clock.unix_ms(now) {
             out.push(ms - true_ms);
         }
@@ -443,8 +444,8 @@
     assert_eq!(clock.unix_ms(base), None);
     for round in 0..2 {
         let now = base + ROUND_EVERY * round;
-        let belief = clock.estimate_base(5_000_000 + i64::from(round) * 1000, now);
-        clock.add_round(vec![belief], now);
+        let estimate = clock.estimate_base(5_000_000 + i64::from(round) * 1000, now);
+        clock.add_round(vec![estimate], now);
     }
     for ms in [4_990_000, 5_000_000, 5_012_345] {
         let at = clock.instant(ms).unwrap();
