--- a/crates/arbutusquay/src/commands/apply.rs
+++ b/crates/arbutusquay/src/commands/apply.rs
@@ -60,7 +60,7 @@
 }
 
 /// Splits a file into the version from its version line and the document. The line is left blank
-/// in the document, so that the positions of faults stay correct.
+/// in the document, so that the positions of errors stay correct.
 fn split_version(file: &str) -> (Option<u64>, String) {
     let Some(line) = file.lines().find(|l| l.starts_with(VERSION_PREFIX)) else {
         return (None, file.to_owned());
--- a/crates/arbutusquay/src/commands/check.rs
+++ b/crates/arbutusquay/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: prints all faults of a document.
+//! `check`: prints all errors of a document.
 
 use super::{print_errors, read};
 use crate::exit::Exit;
--- a/crates/arbutusquay/src/commands/explain.rs
+++ b/crates/arbutusquay/src/commands/explain.rs
@@ -18,7 +18,7 @@
 /// The upstream's connections break first. Then it starts and writes its row, and the row is
 /// read.
 const RESTART_AFTER_MS: u64 = 5000;
-/// How long before a request's last line other lines about the same work are included, in
+/// How long before a request's last line other lines about the same fingerprint are included, in
 /// milliseconds: as long as hosts remember crashes of upstreams.
 const CRASH_HISTORY_MS: u64 = 3_600_000;
 /// Fields that are printed at the start of a line or are the same in all lines.
@@ -152,8 +152,8 @@
     }
 }
 
-/// Returns whether a line is about crashes of upstreams under the same work, or about the decision
-/// to block or release that work.
+/// Returns whether a line is about crashes of upstreams during requests with the same fingerprint,
+/// or about the decision to block such requests or to allow them again.
 fn is_about_same_fingerprint(line: &Line, own_lines: &[&Line]) -> bool {
     let is_crash_event = matches!(
         line.event.as_str(),
--- a/crates/arbutusquay/tests/explain.rs
+++ b/crates/arbutusquay/tests/explain.rs
@@ -179,7 +179,7 @@
     assert!(why.contains("why=") && why.contains("attempt=1"), "{why}");
 }
 
-/// The log shows each crash under the same work, though each request had another id.
+/// The log shows each crash of the request, although each attempt had another request id.
 #[tokio::test]
 async fn a_blocked_request_is_explained() {
     let fixture = start(7).await;
@@ -202,7 +202,7 @@
     }
     let until = Instant::now() + TIMEOUT;
     for n in 0.. {
-        // Only the id changes. Path and body stay the same, so all requests count as the same work.
+        // Only the id changes. Path and body stay the same, so all requests have one fingerprint.
         let id = format!("again-{n}");
         let text = fixture
             .send(&request("POST", "/unsafe/", &id, "", "x"))
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -1,9 +1,8 @@
 //! Tracks requests during which upstreams crash, across all entries.
 //!
-//! [`resilience::crashes`] decides which crashes count and when work is held back. Entries don't
-//! communicate directly: each writes the crashes that its own requests observed as rows of the
-//! table service and reads the rows of all, so that they are known to all entries, including ones
-//! started later.
+//! [`resilience::crashes`] decides which crashes count and when a request is blocked. Entries don't
+//! communicate directly: each writes the crashes during its own requests as rows of the table
+//! service and reads the rows of all entries. Entries that are started later thus know them, too.
 
 use observe::log_line::now_ms;
 use observe::{Event, emit};
@@ -25,11 +24,11 @@
 /// Maximum number of rows in a read, and in a write.
 const MAX_ROWS_PER_READ: u32 = 512;
 const MAX_ROWS_PER_WRITE: usize = 32;
-/// Number of crashes from which on an entry writes them: 1, as other entries learn of them only
-/// from the rows.
+/// Minimum number of crashes of a request for rows to be written: 1, as other entries learn of
+/// crashes only from the rows.
 const MIN_CRASHES_TO_RECORD: usize = 1;
 
-/// Work during which upstreams crashed.
+/// Requests during which upstreams crashed.
 #[derive(Debug)]
 pub struct Crashes {
     platform: HttpPlatform,
@@ -39,7 +38,7 @@
     write_needed: Notify,
 }
 
-/// Whether and how work may be sent.
+/// Whether and how a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendDecision {
     /// Without restrictions.
@@ -60,7 +59,7 @@
     Fingerprint::of([service.as_bytes(), tenant.as_bytes(), head, path, body])
 }
 
-/// Identifier for the exit of an upstream's agent, distinct from those of other exits.
+/// Identifier for the crash of an upstream's agent, distinct from those of other crashes.
 pub fn agent_crash_id(upstream: &str) -> u32 {
     Fingerprint::of([&b"agent"[..], upstream.as_bytes()]).0 as u32
 }
@@ -80,12 +79,13 @@
         self.known.lock().expect("no panic while locked")
     }
 
-    /// Whether no work is suspected.
+    /// Whether no request is suspected of crashing upstreams.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
 
-    /// Records that an upstream crashed while it ran the work, and whether that was a trial.
+    /// Records that an upstream crashed while it ran a request, and whether that was a trial.
+    /// `upstream` identifies the upstream's process.
     pub fn record_crash(&self, fingerprint: Fingerprint, upstream: u32, in_trial: bool) {
         let at = Instant::now();
         let observation = Observation::Crash {
@@ -97,7 +97,7 @@
         self.apply_report(observation, Source::Local);
     }
 
-    /// Records that the work got a complete response.
+    /// Records that a request got a complete response.
     pub fn record_answer(&self, fingerprint: Fingerprint) {
         let at = Instant::now();
         self.apply_report(Observation::Answer { fingerprint, at }, Source::Local);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Decides whether and how the work may be sent to an upstream now.
+    /// Decides whether and how a request may be sent to an upstream now.
     pub async fn decide(&self, fingerprint: Fingerprint) -> SendDecision {
         let now = Instant::now();
         let verdict = {
@@ -312,7 +312,7 @@
     });
 }
 
-/// Deletions of the row of a crash and of the rows of the work's trials.
+/// Deletions of the row of a crash and of the rows of the request's trials.
 fn removal_puts(record: &CrashRecord) -> Vec<Put> {
     let trials = (0..STORED_TRIALS).map(|number| trial_key(record.fingerprint.0, number));
     let keys = std::iter::once(crash_key(record.fingerprint.0, record.upstream)).chain(trials);
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -58,7 +58,7 @@
     none_has_run: bool,
     /// The last refusal by an agent, returned if no other agent serves the request.
     last_refusal: Option<Refusal>,
-    /// Number of the trial, if the request is a trial of work that is held back.
+    /// Number of the trial, if the request is a trial of a blocked request.
     trial: Option<usize>,
     /// Number of tokens sent to the caller.
     delivered: u64,
@@ -203,14 +203,14 @@
         crashes::fingerprint(self.service(), &self.req.tenant, &self.req.call)
     }
 
-    /// Records a complete response, which clears the work of earlier crashes.
+    /// Records a complete response, which clears the request of earlier crashes.
     fn clear_suspicion(&self) {
         if !self.entry.crashes.is_empty() {
             self.entry.crashes.record_answer(self.fingerprint());
         }
     }
 
-    /// Refuses the request if its work is held back because upstreams crashed while running it.
+    /// Refuses the request if it is blocked because upstreams crashed while running it.
     async fn check_crashes(&mut self) -> Result<(), Refusal> {
         if self.entry.crashes.is_empty() {
             return Ok(());
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -48,7 +48,7 @@
 }
 
 /// Accounting of one request. If it is dropped before it is closed, the client has disconnected
-/// or the process is ending.
+/// or the process is exiting.
 #[derive(Debug)]
 pub struct Account {
     gateway: Arc<Gateway>,
@@ -95,7 +95,7 @@
     pub fingerprint: Option<Fingerprint>,
     /// Units taken from the tenant's quota.
     pub grant: Option<Grant>,
-    /// Number of the trial, if the request is one for work that is suspected of crashing
+    /// Number of the trial, if the request is a trial of one that is blocked for crashing
     /// upstreams.
     pub trial: Option<usize>,
     /// Time until a prefill-only engine finished the prompt.
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -28,14 +28,14 @@
 /// Size up to which a plain answer is buffered completely, in bytes. Larger ones are streamed.
 const MAX_BUFFERED_BYTES: u64 = 256 << 10;
 /// Fraction of the upstream's idle timeout for which an idle connection is reused. A request on a
-/// connection that is being closed may be lost, and nobody can tell whether it has run.
+/// connection that is being closed may be lost, and it is then unknown whether it has run.
 const IDLE_FRACTION: f64 = 0.5;
 /// Time for which an idle connection is reused if the upstream names no timeout.
 const DEFAULT_IDLE: Duration = Duration::from_millis(400);
-/// Priorities of requests within an engine, by the length of the answer.
+/// Priorities of requests with long and short answers within an engine.
 const LONG_PRIORITY: u8 = 2;
 const SHORT_PRIORITY: u8 = 4;
-/// Weights in the upstream's health of a connection failure and of a server error. Some services
+/// Weights of a connection failure and of a server error in the upstream's health. Some services
 /// answer one in seven requests with an error, and must not be suspended for it.
 pub const CONNECTION_FAILURE_WEIGHT: f64 = 0.25;
 const ERROR_ANSWER_WEIGHT: f64 = 0.06;
@@ -94,7 +94,7 @@
     PrefillFailed,
     /// The prefill succeeded, but the process ends before the answer would.
     NoTime,
-    /// The request may not be sent to any upstream.
+    /// The request may no longer be sent to any upstream.
     Blocked(Reason),
 }
 
@@ -245,8 +245,8 @@
     }))
 }
 
-/// Records that a request was sent. A plain request is taken to begin to run now, even if its
-/// answer is lost; a stream begins with its first event.
+/// Records that a request was sent. A plain request counts as started from now on, even if its
+/// answer is lost; a stream counts as started from its first event.
 fn record_sent(call: &Call, account: &mut Account, at: Instant) {
     if !call.target().route.kind.is_stream() && account.begin == UsageState::NotSent {
         account.begin = UsageState::Sent(at);
@@ -291,7 +291,7 @@
 }
 
 /// Priority of a request within an engine. When their slots are full, engines preempt less urgent
-/// requests, whose answers are then late. Requests of a tenant that are more or less urgent than
+/// requests, whose answers are then late. Requests of a tenant whose priority differs from
 /// the route's are ranked before or after others with answers of the same length.
 fn engine_priority(call: &Call, plan: &Plan) -> u8 {
     let rank = match plan.is_long {
--- a/crates/gateway/src/attempt/split.rs
+++ b/crates/gateway/src/attempt/split.rs
@@ -101,7 +101,7 @@
     last
 }
 
-/// Releases a KV cache that is not needed. It expires by itself if the call fails.
+/// Releases a KV cache that is not needed. If the call fails, the cache expires by itself.
 fn release_cache(pool: Pool, prefilled: &Prefilled) {
     const TIMEOUT: Duration = Duration::from_millis(500);
     let req = Request::builder()
@@ -115,7 +115,7 @@
     tokio::spawn(async move { pool.call(req, MAX_PREFILL_ANSWER, TIMEOUT).await });
 }
 
-/// Prefills the prompt; `None` if that failed, as far as this process can tell.
+/// Prefills the prompt; `None` if that failed or its outcome is unknown.
 async fn prefill(call: &Call, account: &mut Account, plan: &Plan) -> Option<Prefilled> {
     let gateway = &call.gateway;
     let mut load = gateway.add_load(plan.key, plan.inputs.uncached, false);
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -21,9 +21,9 @@
 /// fraction of the target. Targets range from 120 to 1,500 ms.
 const ADMIT_MARGIN: Duration = Duration::from_millis(48);
 const ADMIT_MARGIN_FRACTION: f64 = 0.15;
-/// Longest estimate for the rest of a broken stream, as a multiple of the latency target, because
-/// refusing it would break the stream off for good. Applying this bound to all retried requests
-/// brought no gain.
+/// Longest estimate with which a broken stream is resumed, as a multiple of the latency target. It
+/// is larger than for new requests, as a refusal would end the stream for good. For retries of
+/// other requests a larger bound brought no gain.
 const RESUME_ESTIMATE_FACTOR: f64 = 2.0;
 /// Penalty for an upstream in another availability zone and maximum random penalty for requests
 /// to plain services, as a fraction of the upstream's slots. The jitter keeps processes with the
@@ -33,7 +33,7 @@
 const PLAIN_JITTER: f64 = 0.05;
 /// Answers with more tokens than this occupy a slot for seconds.
 const LONG_ANSWER_TOKENS: u32 = 1024;
-/// Penalty for each long answer that runs on an engine, as it slows down the requests beside it.
+/// Penalty for each long answer that runs on an engine, as it slows down concurrent requests.
 const LONG_ANSWER_COST_MS: f64 = 6.0;
 /// Penalty for an engine with a long answer in each slot: it takes a second or more until one
 /// ends.
@@ -42,8 +42,8 @@
 /// Moving a cache of 300 MB between zones takes about 7 ms longer, and traffic between zones is
 /// expensive.
 const CROSS_ZONE_COST_MS: f64 = 10.0;
-/// Shortest and longest wait that a refused client is told. The client must still be able to meet
-/// its latency target, and clients must not all return at once.
+/// Shortest and longest wait that a refusal asks the client for. The client must still be able to
+/// meet its latency target, and clients must not all return at once.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(150), Duration::from_millis(600));
 
--- a/crates/gateway/src/choose/home.rs
+++ b/crates/gateway/src/choose/home.rs
@@ -190,8 +190,8 @@
 }
 
 /// Whether prompts are prefilled only on prefill-only engines, which is the case once these are
-/// at least half of the engines. Beside running answers, prefill takes twice as long and delays
-/// each of the answers.
+/// at least half of the engines. Prefill on an engine that also generates takes twice as long
+/// and delays its running answers.
 fn has_enough_prefill_engines(fleet: &Fleet, service: ServiceKey) -> bool {
     let engines = fleet
         .iter()
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -3,7 +3,7 @@
 //! A connection that breaks during a request shows that the upstream may have crashed ([`broken`]),
 //! as does a request without an answer whose upstream is gone ([`unanswered`]).
 //! [`resilience::crashes`] counts crashes per request fingerprint and decides when a request is
-//! held back. This module passes it the reports of this host, of peers and of rows in the store,
+//! blocked. This module passes it the reports of this host, of peers and of rows in the store,
 //! and applies its decisions ([`admit`]). The rows ([`rows`]) reach hosts without a live peer and
 //! survive restarts of all processes.
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Applies a report, logs the resulting change, and wakes the writer of rows.
+/// Applies an observation, logs the resulting change, and wakes the writer of rows.
 fn apply(gateway: &Gateway, observation: Observation, source: Source, forward: bool) -> Change {
     let change = gateway
         .crashes
@@ -88,7 +88,7 @@
     change
 }
 
-/// Logs that a request is held back or released.
+/// Logs that a request is blocked, or no longer blocked.
 fn log_change(fingerprint: Fingerprint, change: Change, source: Source) {
     let work = fingerprint.to_string();
     let source = source_name(source);
--- a/crates/gateway/src/crashes/admit.rs
+++ b/crates/gateway/src/crashes/admit.rs
@@ -16,7 +16,7 @@
     Normal,
     /// To the least loaded upstream, as the request may crash it.
     Quarantined,
-    /// Not at all, for the given reason.
+    /// Not at all, for the given reason: its key isn't valid, or it crashes upstreams.
     Blocked(Reason),
 }
 
--- a/crates/gateway/src/crashes/broken.rs
+++ b/crates/gateway/src/crashes/broken.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time in which an upstream can show that it is running. A process that ends closes all its
-/// connections at once, and a busy host takes about ten milliseconds to notice; a running upstream
-/// answers other requests in this time.
+/// Time for which an upstream is observed after a connection broke. A process that ends closes all
+/// its connections at once, which a busy host notices within about ten milliseconds. A running
+/// upstream answers other requests in this time.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(100);
 
 /// A request whose connection to an upstream broke.
--- a/crates/gateway/src/crashes/rows.rs
+++ b/crates/gateway/src/crashes/rows.rs
@@ -20,7 +20,7 @@
 /// Time for which the store may hold a read: the maximum that it allows, as rows are rare. A dead
 /// connection is noticed only after this time.
 const HOLD_TIME: Duration = Duration::from_secs(30);
-/// Same for a host without a live peer, which learns of crashes only from the store.
+/// The same for a host without a live peer, which learns of crashes only from the store.
 const HOLD_TIME_ISOLATED: Duration = Duration::from_secs(2);
 /// Time allowed for the store's answer, in addition to the time for which it holds a read.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
@@ -39,9 +39,10 @@
 const TAKEOVER_WRITERS: u32 = 2;
 /// Maximum number of rows written or removed per call.
 const MAX_ROWS_PER_CALL: usize = 32;
-/// Maximum number of crashes whose rows, with those of the request's trials, fit into one removal.
+/// Maximum number of crashes per removal, as each removes its own row and those of the request's
+/// trials.
 const MAX_CRASHES_PER_CALL: usize = MAX_ENTRIES / (1 + STORED_TRIALS);
-/// Number of rows from which only crashes of held back requests are written; a table of this size
+/// Number of rows from which on only crashes of blocked requests are written. A table of this size
 /// is read in two pages.
 const MAX_SUSPECT_ROWS: usize = 256;
 
@@ -317,7 +318,7 @@
     }
 }
 
-/// Takes a trial of a held back request for all hosts; returns whether this host may run it. The
+/// Reserves a trial of a blocked request among all hosts; returns whether this host may run it. The
 /// store decides between hosts. If it doesn't answer, or if the trial has no row, the process of
 /// rank 0 takes the trial.
 pub async fn take_trial(gateway: &Arc<Gateway>, fingerprint: Fingerprint, number: usize) -> bool {
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -1,7 +1,7 @@
 //! Checks whether an upstream crashed when it doesn't answer a request.
 //!
-//! An upstream that ends without closing its connections leaves the request neither failed nor
-//! answered. If this weren't counted, the request would be sent on and crash further upstreams.
+//! If an upstream ends without closing its connections, the request neither fails nor is answered.
+//! If this weren't counted as a crash, retries of the request would crash further upstreams.
 //! Whether the upstream has ended is determined from the registry.
 
 use crate::account::{Account, SentTo};
@@ -17,7 +17,7 @@
 
 /// Interval between checks.
 const CHECK_EVERY: Duration = Duration::from_millis(500);
-/// Time for which an upstream is checked; the registry entry of an upstream that is gone expires
+/// Time for which an upstream is checked. The registry entry of an upstream that is gone expires
 /// within a few seconds.
 const WATCH_TIME: Duration = Duration::from_secs(15);
 
@@ -62,7 +62,7 @@
 pub struct TrialWatch(Option<AbortHandle>);
 
 impl TrialWatch {
-    /// Stops the watch, as the trial wasn't sent or the upstream says that it isn't running it.
+    /// Stops the watch, as the trial wasn't sent or the upstream reported that it doesn't run it.
     pub fn cancel(self) {
         if let Some(task) = self.0 {
             task.abort();
--- a/crates/gateway/src/duty/usage/ledger.rs
+++ b/crates/gateway/src/duty/usage/ledger.rs
@@ -54,7 +54,7 @@
     pub requests: u64,
     /// Processes whose requests are known for the whole span.
     pub hosts: usize,
-    /// Processes heard from whose requests aren't known for the whole span.
+    /// Processes that answered but whose requests aren't known for the whole span.
     pub silent: usize,
 }
 
@@ -158,12 +158,12 @@
         }
     }
 
-    /// Numbers of processes whose requests are known for the whole span, and of those that were
-    /// heard from since its start but aren't complete.
+    /// Numbers of processes whose requests are known for the whole span, and of those that answered
+    /// since its start but aren't complete.
     pub fn coverage(&self, from: Instant, until: Instant) -> (usize, usize) {
         let is_complete = |log: &&ProcessLog| log.complete_at.is_some_and(|at| at >= until);
         let complete = self.logs.iter().filter(is_complete).count();
-        // A process last heard from before the span had no part in it.
+        // A process whose last answer came before the span started no request in it.
         let heard = self
             .logs
             .iter()
@@ -178,7 +178,7 @@
         entries.map(|e| e.at).min()
     }
 
-    /// Time at which a process was last heard from.
+    /// Time of a process's last answer.
     pub fn last_received_at(&self, ip: IpAddr) -> Option<Instant> {
         let logs = self.logs.iter().filter(|log| log.ip == ip);
         logs.map(|log| log.last_received_at).max()
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,7 +1,7 @@
 //! Splits a stream into server-sent events, as far as resuming requires it.
 //!
 //! Bytes are passed on unchanged; only the ends and ids of events are parsed. An upstream may
-//! stop in the middle of an event. Bytes after the last complete event are held back until the
+//! stop in the middle of an event. Bytes after the last complete event are buffered until their
 //! event is complete, so that the stream can be resumed at another upstream after that event.
 
 use bytes::{Bytes, BytesMut};
@@ -39,7 +39,7 @@
         self.last_id
     }
 
-    /// Whether part of an event is held back.
+    /// Whether part of an event is buffered.
     pub fn is_mid_event(&self) -> bool {
         !self.partial.is_empty()
     }
--- a/crates/gateway/src/fleet/durations.rs
+++ b/crates/gateway/src/fleet/durations.rs
@@ -2,9 +2,8 @@
 //!
 //! A process that is stopping accepts a request only if the answer will end before the process
 //! does. A mean is not enough, as each answer that takes longer would be cut off. The bound is
-//! therefore taken from the slowest answer of similar length within the last minutes. Only those
-//! answers of the process's last seconds are cut off that are slower than all answers of these
-//! minutes, which is rare at any request rate.
+//! therefore taken from the slowest answer of similar length within the last minutes. An answer
+//! is cut off only if it is slower than all of these, which is rare at any request rate.
 
 mod snapshot;
 
@@ -108,7 +107,7 @@
         self.samples_mut(length).push(took, now);
     }
 
-    /// Records the begin of a streamed answer; `since` is the time at which the request was
+    /// Records the start of a streamed answer; `since` is the time at which the request was
     /// received.
     pub fn begin(&mut self, length: Length, since: Instant) {
         self.samples_mut(length).running.push(since);
--- a/crates/gateway/src/fleet/merge.rs
+++ b/crates/gateway/src/fleet/merge.rs
@@ -59,9 +59,9 @@
         MergeOutcome::Restarted { key, before }
     }
 
-    /// Whether a row is not newer than the known one. A row that says that the known start is
-    /// draining always counts: draining is never revoked within a start, so all processes reach
-    /// the same state in whatever order they read.
+    /// Whether a row is not newer than the known one. A row that reports the known start as
+    /// draining is always applied: draining is never revoked within a start, so all processes
+    /// reach the same state in whatever order they read.
     fn is_known_newer(&self, key: UpstreamKey, row: &Instance) -> bool {
         let Some(Upstream { instance, .. }) = self.get(key) else {
             return false;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -34,7 +34,7 @@
 /// that lose the store together don't retry together.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Number of times that a process which isn't a reader doubles the pause while reads fail, up to
-/// 1 s. It hears from the readers when the store is back. With 103 processes that all retried
+/// 1 s. The readers notify it when the store is back. With 103 processes that all retried
 /// every 0.4 s, retries were 6,000 of 9,500 calls in an outage of 8 s.
 const RETRY_DOUBLINGS: u32 = 2;
 /// Interval at which a process checks whether it has become a feed reader.
--- a/crates/gateway/src/missing.rs
+++ b/crates/gateway/src/missing.rs
@@ -1,7 +1,7 @@
 //! Keeps upstreams whose registry entries are missing just after an outage of the store.
 //!
 //! Entries expire while the store is unavailable and are rewritten soon after its return, so a
-//! missing upstream isn't removed at once. Until this is settled, the process knows more
+//! missing upstream isn't removed at once. Until it returns or is removed, the process knows more
 //! upstreams than the version of its last read contains, and reports no read to its peers.
 
 use std::time::{Duration, Instant};
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -26,8 +26,8 @@
 /// Time for the store to deliver a configuration that a peer already has, before the peer is asked.
 /// Asking peers is meant for processes that the store refuses.
 const STORE_GRACE: Duration = Duration::from_millis(250);
-/// Same for the first read of the registry in a full mesh, where all processes that start together
-/// would ask the one that has read it first. In a tree few do.
+/// The same for the first read of the registry in a full mesh, where all processes that start
+/// together would ask the one that has read it first. In a tree few do.
 const FIRST_READ_GRACE: Duration = Duration::from_millis(1500);
 /// Interval between checks for newer versions at peers, in addition to the check on a datagram with
 /// a newer version.
@@ -202,8 +202,8 @@
 /// Fetches the changes of a peer's registry, or the whole registry if the changes aren't enough.
 /// Returns whether the registry then equals the peer's, or is newer.
 async fn fetch_registry(gateway: &Arc<Gateway>, ip: IpAddr, known: u64) -> bool {
-    // Upstreams that were missing from the last read and may come back are settled only by a whole
-    // registry.
+    // Upstreams that were missing from the last read and may return are found or removed only by a
+    // whole registry.
     let since = match gateway.missing().is_empty() {
         true => known,
         false => 0,
--- a/crates/gateway/src/peers/links.rs
+++ b/crates/gateway/src/peers/links.rs
@@ -14,7 +14,7 @@
 const MAX_ROOT_PROBES: usize = 8;
 /// Interval between hellos to possible parents while this process has no parent.
 const HELLO_EVERY: Duration = Duration::from_millis(200);
-/// Same while it reports to a peer other than its preferred parent, and interval of hellos to
+/// The same while it reports to a peer other than its preferred parent, and interval of hellos to
 /// children.
 const HELLO_PREFERRED_EVERY: Duration = Duration::from_secs(2);
 /// Number of processes that share a rank behind the roots.
--- a/crates/gateway/src/peers/startup_load.rs
+++ b/crates/gateway/src/peers/startup_load.rs
@@ -18,12 +18,12 @@
 
 /// Maximum time for which readers of other tables wait for the first page of the processes.
 const FIRST_PAGE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Same at the first start of the system, when there is no traffic yet and all processes write
+/// The same at the first start of the system, when there is no traffic yet and all processes write
 /// their rows first.
 const FIRST_START_PAGE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Maximum of the random time for which peers are asked.
 const MAX_ASK_TIME: Duration = Duration::from_millis(800);
-/// Same at the first start of the system.
+/// The same at the first start of the system.
 const FIRST_START_MAX_ASK_TIME: Duration = Duration::from_secs(4);
 /// Pause between attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -97,7 +97,7 @@
     pub config: Config,
     /// The registry.
     pub registry: RegistryChanges,
-    /// Upstream ends that are recorded in the store.
+    /// Crashes of upstreams that are recorded in the store.
     pub crashes: Vec<CrashReport>,
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -74,7 +74,7 @@
     /// Total time spent waiting for the client.
     client_wait: Duration,
     _stream_guard: StreamGuard,
-    /// Whether the framing marks the answer's end. An answer that ends with its connection looks
+    /// Whether the headers define where the body ends. A body that ends with its connection looks
     /// complete even if its upstream has crashed.
     is_framed: bool,
     /// Present for streams that may be resumed.
@@ -93,7 +93,7 @@
     Broken(String),
     /// The client disconnected.
     ClientGone,
-    /// The deadline or the timeout passed, or the process ends.
+    /// The deadline or the timeout passed, or the process exits.
     TimedOut(Reason),
 }
 
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -67,7 +67,7 @@
     ///
     /// A process that was paused when the signal arrived notices it late, and may be killed that
     /// much earlier than it assumes. `earliest_signal` is the earliest time at which the signal
-    /// may have arrived. New work must end within the schedule counted from that time; running
+    /// may have arrived. New requests must end within the schedule counted from that time; running
     /// requests continue, as they may still end in time.
     pub fn new(signal_at: Instant, earliest_signal: Instant, grace: Duration) -> Self {
         let exit_at = signal_at + grace.mul_f64(GRACE_SHARE);
--- a/crates/gateway/tests/common_requests.rs
+++ b/crates/gateway/tests/common_requests.rs
@@ -1,5 +1,5 @@
 //! Tests that a common request that crashes nothing isn't confirmed as crashing, although it runs
-//! beside others that crash their upstreams.
+//! while others crash their upstreams.
 //!
 //! Guards against this failure: a request that every client sends was running when four others
 //! crashed three upstreams, and was blocked. For 13 s no host served it; then two hosts refused it
