--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -58,7 +58,7 @@
     none_has_run: bool,
     /// The last refusal by an agent, returned if no other agent serves the request.
     last_refusal: Option<Refusal>,
-    /// Number of the trial, if the request is a trial of work that is held back.
+    /// Number of the trial, if the request is a trial of a blocked request.
     trial: Option<usize>,
     /// Number of tokens sent to the caller.
     delivered: u64,
@@ -76,7 +76,7 @@
     Lost(Reason),
     /// The attempt broke off because the upstream or its agent exited; contains an identifier of
     /// this exit.
-    Ended(Reason, u32),
+    Crashed(Reason, u32),
 }
 
 impl Session {
@@ -175,11 +175,11 @@
                 }
                 Step::Refused(refusal) => self.handle_refusal(refusal)?,
                 Step::Lost(reason) => self.handle_loss(reason)?,
-                Step::Ended(reason, end) => {
+                Step::Crashed(reason, crash_id) => {
                     let in_trial = self.trial.is_some();
                     self.entry
                         .crashes
-                        .record_end(self.fingerprint(), end, in_trial);
+                        .record_crash(self.fingerprint(), crash_id, in_trial);
                     self.handle_loss(reason)?;
                 }
             }
@@ -203,32 +203,32 @@
         crashes::fingerprint(self.service(), &self.req.tenant, &self.req.call)
     }
 
-    /// Records a complete response, which clears the work of earlier crashes.
+    /// Records a complete response, which clears the request of earlier crashes.
     fn clear_suspicion(&self) {
         if !self.entry.crashes.is_empty() {
             self.entry.crashes.record_answer(self.fingerprint());
         }
     }
 
-    /// Refuses the request if its work is held back because upstreams crashed while running it.
+    /// Refuses the request if it is blocked because upstreams crashed while running it.
     async fn check_crashes(&mut self) -> Result<(), Refusal> {
         if self.entry.crashes.is_empty() {
             return Ok(());
         }
-        let held = match self.entry.crashes.decide(self.fingerprint()).await {
+        let refusal = match self.entry.crashes.decide(self.fingerprint()).await {
             SendDecision::Allow => return Ok(()),
             SendDecision::Trial(number) => {
                 self.trial = Some(number);
                 return Ok(());
             }
-            SendDecision::HoldBack(Confidence::Unconfirmed) => {
+            SendDecision::Block(Confidence::Unconfirmed) => {
                 Refusal::not_run(Reason::CrashSuspected).retry_in(NO_UPSTREAM_RETRY_MS)
             }
-            SendDecision::HoldBack(Confidence::Confirmed) => {
+            SendDecision::Block(Confidence::Confirmed) => {
                 Refusal::not_run(Reason::CrashesUpstreams)
             }
         };
-        Err(self.give_up(held))
+        Err(self.give_up(refusal))
     }
 
     /// Starts the next attempt.
@@ -356,7 +356,7 @@
         match part {
             Part::Refused(refusal) => Step::Refused(refusal),
             Part::Broken => Step::Lost(Reason::UpstreamBroken),
-            Part::UpstreamEnded { end } => Step::Ended(Reason::UpstreamEnded, end),
+            Part::UpstreamEnded { end } => Step::Crashed(Reason::UpstreamEnded, end),
             Part::Started { .. } => {
                 current.started = true;
                 Step::Part(part)
@@ -377,7 +377,7 @@
         let timeout = self.entry.node.settings.limits.probe_timeout;
         match Pool::new(agent, timeout).is_reachable().await {
             true => Step::Lost(Reason::PeerLost),
-            false => Step::Ended(Reason::PeerLost, crashes::agent_end_id(name)),
+            false => Step::Crashed(Reason::PeerLost, crashes::agent_crash_id(name)),
         }
     }
 
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -48,7 +48,7 @@
 }
 
 /// Accounting of one request. If it is dropped before it is closed, the client has disconnected
-/// or the process is ending.
+/// or the process is exiting.
 #[derive(Debug)]
 pub struct Account {
     gateway: Arc<Gateway>,
@@ -95,7 +95,7 @@
     pub fingerprint: Option<Fingerprint>,
     /// Units taken from the tenant's quota.
     pub grant: Option<Grant>,
-    /// Number of the trial, if the request is one for work that is suspected of crashing
+    /// Number of the trial, if the request is a trial of one that is blocked for crashing
     /// upstreams.
     pub trial: Option<usize>,
     /// Time until a prefill-only engine finished the prompt.
@@ -180,7 +180,7 @@
         let millis = |d: Duration| d.as_millis() as u64;
         emit(&Event::Answered {
             request: &self.id,
-            work: self.fingerprint.map(|work| work.to_string()),
+            work: self.fingerprint.map(|hash| hash.to_string()),
             route: self.route.as_deref(),
             service: self.service.as_deref(),
             under: &ConfigContext {
@@ -239,8 +239,8 @@
 
 impl Drop for Account {
     fn drop(&mut self) {
-        let ending = self.gateway.shutdown_schedule();
-        let reason = match ending.is_some_and(|e| e.refuse_at <= Instant::now()) {
+        let schedule = self.gateway.shutdown_schedule();
+        let reason = match schedule.is_some_and(|s| s.refuse_at <= Instant::now()) {
             true => Reason::ProcessEnds,
             false => Reason::ClientGone,
         };
--- a/crates/gateway/src/crashes/unanswered.rs
+++ b/crates/gateway/src/crashes/unanswered.rs
@@ -1,7 +1,7 @@
 //! Checks whether an upstream crashed when it doesn't answer a request.
 //!
-//! An upstream that ends without closing its connections leaves the request neither failed nor
-//! answered. If this weren't counted, the request would be sent on and crash further upstreams.
+//! If an upstream ends without closing its connections, the request neither fails nor is answered.
+//! If this weren't counted as a crash, retries of the request would crash further upstreams.
 //! Whether the upstream has ended is determined from the registry.
 
 use crate::account::{Account, SentTo};
@@ -17,7 +17,7 @@
 
 /// Interval between checks.
 const CHECK_EVERY: Duration = Duration::from_millis(500);
-/// Time for which an upstream is checked; the registry entry of an upstream that is gone expires
+/// Time for which an upstream is checked. The registry entry of an upstream that is gone expires
 /// within a few seconds.
 const WATCH_TIME: Duration = Duration::from_secs(15);
 
@@ -39,7 +39,7 @@
 struct WatchedRequest {
     gateway: Arc<Gateway>,
     request: String,
-    work: Fingerprint,
+    fingerprint: Fingerprint,
     to: SentTo,
     upstream: String,
     in_trial: bool,
@@ -62,7 +62,7 @@
 pub struct TrialWatch(Option<AbortHandle>);
 
 impl TrialWatch {
-    /// Stops the watch, as the trial wasn't sent or the upstream says that it isn't running it.
+    /// Stops the watch, as the trial wasn't sent or the upstream reported that it doesn't run it.
     pub fn cancel(self) {
         if let Some(task) = self.0 {
             task.abort();
@@ -94,7 +94,7 @@
     ) else {
         return;
     };
-    account.fingerprint = Some(request.work);
+    account.fingerprint = Some(request.fingerprint);
     tokio::spawn(async move {
         request.watch().await;
         drop(permit);
@@ -107,7 +107,7 @@
         Some(Self {
             gateway: call.gateway.clone(),
             request: account.id.clone(),
-            work: call.fingerprint(),
+            fingerprint: call.fingerprint(),
             to: account.last_sent_to?,
             upstream: account.upstream.clone()?,
             in_trial: account.trial.is_some(),
@@ -119,34 +119,34 @@
         while self.at.elapsed() < WATCH_TIME {
             tokio::time::sleep(CHECK_EVERY).await;
             // The request was answered and thereby cleared.
-            if self.in_trial && self.gateway.crashes.lock().crash_count(self.work) == 0 {
+            if self.in_trial && self.gateway.crashes.lock().crash_count(self.fingerprint) == 0 {
                 return;
             }
             match self.fate() {
                 UpstreamFate::Unknown => {}
                 UpstreamFate::Alive => return,
-                UpstreamFate::Ended => return self.report_end(),
+                UpstreamFate::Ended => return self.report_crash(),
             }
         }
     }
 
     /// Counts the crash, unless it is already known from a broken connection.
-    fn report_end(&self) {
-        let word = Observation::Crash {
-            fingerprint: self.work,
+    fn report_crash(&self) {
+        let observation = Observation::Crash {
+            fingerprint: self.fingerprint,
             upstream: self.to.tag,
             at: self.at,
             in_trial: self.in_trial,
         };
-        if super::apply(&self.gateway, word, Source::Local, true) == Change::Unchanged {
+        if super::apply(&self.gateway, observation, Source::Local, true) == Change::Unchanged {
             return;
         }
         emit(&Event::UpstreamWentDark {
             request: &self.request,
-            work: self.work.to_string(),
+            work: self.fingerprint.to_string(),
             upstream: &self.upstream,
             in_trial: self.in_trial,
-            ends: self.gateway.crashes.lock().crash_count(self.work),
+            ends: self.gateway.crashes.lock().crash_count(self.fingerprint),
         });
     }
 
